--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -18,14 +18,14 @@
 use crate::tokens::Tokens;
 
 /// How long the log goes before other routers, where what a request needs is undrawn.
-const LOG_FIRST: Duration = Duration::from_millis(60);
+const LOAN_DELAY: Duration = Duration::from_millis(60);
 
 /// How much demand is borrowed ahead, so that not each request asks anew: a question costs a millisecond, and what is
 /// borrowed can't be given back.
-const AHEAD: Duration = Duration::from_secs(2);
+const LOAN_COVER: Duration = Duration::from_secs(2);
 
 /// How much of its own demand a lender keeps.
-pub(super) const KEPT: Duration = Duration::from_secs(1);
+pub(super) const OWN_COVER: Duration = Duration::from_secs(1);
 
 impl Funds {
     /// Asks other routers for what can't be had from the log now.
@@ -48,10 +48,10 @@
                 .front()
                 .map_or(now, |waiting| waiting.since);
             // The log gives what is undrawn within some milliseconds, where it answers at all.
-            if hopeful && now < first + LOG_FIRST {
+            if hopeful && now < first + LOAN_DELAY {
                 continue;
             }
-            let ahead = Tokens((allowance.own_rate(now) * AHEAD.as_secs_f64()) as u64);
+            let ahead = Tokens((allowance.own_rate(now) * LOAN_COVER.as_secs_f64()) as u64);
             let wanted = Wanted {
                 amount: needed.saturating_add(ahead).min(left),
                 asked: allowance.asked,
@@ -128,7 +128,7 @@
         let Some(allowance) = self.allowances.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
-        let keep = Tokens((allowance.rate(now) * KEPT.as_secs_f64()) as u64);
+        let keep = Tokens((allowance.rate(now) * OWN_COVER.as_secs_f64()) as u64);
         let spare = free.saturating_sub(keep).max(Tokens(free.0 / 2));
         let spare = match allowance.waiting.is_empty() {
             true => spare,
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -20,21 +20,21 @@
 use crate::tokens::Tokens;
 
 /// How long a router that brought nothing is not asked again: its next heartbeat tells what it has by then.
-const DRY: Duration = Duration::from_millis(600);
+const LENDER_BACKOFF: Duration = Duration::from_millis(600);
 
 /// A lender that gives less than this part of what was asked for is left alone for a while; one that gives more, though not
 /// all, may be asked for the rest.
-const ENOUGH: u64 = 8;
+const MIN_LOAN_DIVISOR: u64 = 8;
 
-/// How many answers a lender remembers. A question is repeated within [`FORGOTTEN`]; at fifty questions a second that is
+/// How many answers a lender remembers. A question is repeated within [`RETRY_WINDOW`]; at fifty questions a second that is
 /// enough.
-const REMEMBERED: usize = 1024;
+const HISTORY_CAPACITY: usize = 1024;
 
 /// How long after a question that brought no answer it is asked again: its lender is busy, or was cut off.
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long after the first time it is given up: as long as routers were seen parted, and a while more.
-const FORGOTTEN: Duration = Duration::from_secs(15);
+const RETRY_WINDOW: Duration = Duration::from_secs(15);
 
 /// Another router, and what it last said of one team's budget.
 #[derive(Clone, Debug)]
@@ -113,7 +113,7 @@
 
     /// Returns whether a loan is on its way, or somebody is left to ask.
     pub(crate) fn may_bring(&self, now: Instant) -> bool {
-        self.asked.is_some() || self.none.is_none_or(|at| now >= at + DRY)
+        self.asked.is_some() || self.none.is_none_or(|at| now >= at + LENDER_BACKOFF)
     }
 
     /// Asks the router that has most, if none is asked already.
@@ -230,8 +230,8 @@
         let amount = amount.unwrap_or(Tokens::ZERO);
         self.borrowed += amount;
         self.dry.retain(|_, until| now < *until);
-        if amount.0 < ask.amount.0 / ENOUGH {
-            self.dry.insert(peer.address.clone(), now + DRY);
+        if amount.0 < ask.amount.0 / MIN_LOAN_DIVISOR {
+            self.dry.insert(peer.address.clone(), now + LENDER_BACKOFF);
         }
         Some(peer)
     }
@@ -254,9 +254,10 @@
     where
         F: Fn(&Peer) -> bool,
     {
-        self.unanswered.retain(|open| now < open.first + FORGOTTEN);
+        self.unanswered
+            .retain(|open| now < open.first + RETRY_WINDOW);
         let mut open = self.unanswered.iter_mut();
-        let open = open.find(|open| now >= open.last + AGAIN && answers(&open.peer))?;
+        let open = open.find(|open| now >= open.last + RETRY_INTERVAL && answers(&open.peer))?;
         open.last = now;
         Some(Effect::Borrow(open.ask.clone(), open.peer.clone()))
     }
@@ -329,7 +330,7 @@
         if self.gifts.insert(name, gift.amount).is_none() {
             self.borrowed += gift.amount;
         }
-        if self.gifts.len() > REMEMBERED {
+        if self.gifts.len() > HISTORY_CAPACITY {
             self.gifts.shift_remove_index(0);
         }
     }
@@ -347,7 +348,7 @@
         );
         self.lent += amount;
         self.answers.insert(name, amount);
-        if self.answers.len() > REMEMBERED {
+        if self.answers.len() > HISTORY_CAPACITY {
             self.answers.shift_remove_index(0);
         }
         amount
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -13,16 +13,16 @@
 use crate::router::event::AdminId;
 use crate::router::event::LoanAsk;
 use crate::router::funds::Funds;
-use crate::router::lending::KEPT;
+use crate::router::lending::OWN_COVER;
 use crate::router::loans::Wanted;
 use crate::tokens::Tokens;
 
 /// How often a router looks for what it may give back to those that keep budgets: seldom enough that a caller's next request
 /// may find it, often enough that little lies idle at two hundred routers.
-const GIVE_BACK: Duration = Duration::from_millis(500);
+const RETURN_INTERVAL: Duration = Duration::from_millis(500);
 
 /// For how many times as long as the last question took, a team's demand is borrowed ahead, but for no longer than it is kept.
-const AHEAD: u32 = 2;
+const ROUND_TRIPS_AHEAD: u32 = 2;
 
 /// The priority of a loan that no request waits for.
 const LEAST_URGENT: u8 = 9;
@@ -30,7 +30,7 @@
 impl Allowance {
     /// Returns what callers here ask for while a loan is on its way, where it takes so long that several of them come.
     fn loan_demand(&self, now: Instant) -> Tokens {
-        let time = (self.loans.took() * AHEAD).min(KEPT / 2);
+        let time = (self.loans.took() * ROUND_TRIPS_AHEAD).min(OWN_COVER / 2);
         let demand = self.own_rate(now) * time.as_secs_f64();
         match demand > self.size {
             true => Tokens(demand as u64),
@@ -54,7 +54,7 @@
         let left = self.left(team);
         let allowance = &mut self.allowances[team];
         // Where answers take long, each further request would wait as long for the next one.
-        let ahead = (allowance.loans.took() * AHEAD).min(KEPT);
+        let ahead = (allowance.loans.took() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
         let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
         let wanted = Wanted {
             amount: missing.saturating_add(Tokens(ahead as u64)).min(left),
@@ -102,7 +102,7 @@
     ///
     /// Two hundred routers that each held on to the rest of one request would hold seconds of a team's demand.
     pub(crate) fn give_back(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
-        if self.gave_back.is_some_and(|at| now < at + GIVE_BACK) {
+        if self.gave_back.is_some_and(|at| now < at + RETURN_INTERVAL) {
             return Vec::new();
         }
         self.gave_back = Some(now);
@@ -114,7 +114,7 @@
             if !borrowed || !allowance.waiting.is_empty() {
                 continue;
             }
-            let kept = Tokens((allowance.own_rate(now) * KEPT.as_secs_f64()) as u64);
+            let kept = Tokens((allowance.own_rate(now) * OWN_COVER.as_secs_f64()) as u64);
             let idle = self.available(now, &team);
             let owners = self.ownership.answering(now, &team);
             let allowance = &mut self.allowances[&team];
--- a/src/router/ownership.rs
+++ b/src/router/ownership.rs
@@ -13,7 +13,7 @@
 
 /// How long an owner that did not answer is not asked again, unless it is heard of. Each question to it holds requests up for
 /// a fifth of a second; a process that died is back after some seconds, and a VM that is gone for good stays listed.
-const MUTE: Duration = Duration::from_secs(8);
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(8);
 
 /// Who keeps which budgets, as this router sees it.
 #[derive(Debug, Default)]
@@ -75,7 +75,8 @@
 
     /// Takes note that a router did not answer, whatever budget it was asked for.
     pub(super) fn silent(&mut self, now: Instant, peer: &Peer) {
-        self.mute.insert(peer.vm.clone(), now + MUTE);
+        self.mute
+            .insert(peer.vm.clone(), now + UNRESPONSIVE_BACKOFF);
     }
 
     /// Takes note of a sign of life.
--- a/src/router/rationing.rs
+++ b/src/router/rationing.rs
@@ -18,24 +18,24 @@
 
 /// How long the rest of a budget is to last for its most urgent requests where most of it is out of reach: as long as a loss
 /// of power of all routers is felt.
-const LAST: Duration = Duration::from_secs(10);
+const RATION_PERIOD: Duration = Duration::from_secs(10);
 
 /// More than this part of what was prepaid must be out of reach to be thought lost. What routers spent and have not yet
 /// written down looks the same, but is less.
-const LOST: u64 = 20;
+const LOSS_DIVISOR: u64 = 20;
 
 /// How long a cut from the log is thought to go on at least, however long it has been.
-const LEAST: Duration = Duration::from_secs(2);
+const MIN_OUTAGE_LEFT: Duration = Duration::from_secs(2);
 
 /// How often what other routers say of their budgets is gathered. They say it twice a second.
-const LISTEN: Duration = Duration::from_millis(250);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Of how many routers' words all can be new after that time. Those of a larger fleet take turns, and are gathered as much
 /// less often.
-const LISTENED: usize = 24;
+const PEERS_PER_INTERVAL: usize = 24;
 
 /// How seldom they are gathered at most: so long a router that has just got budget is not asked for a loan.
-const SELDOM: Duration = Duration::from_secs(1);
+const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A router that was heard of lately, and what it said of its budgets.
 #[derive(Clone, Debug)]
@@ -72,8 +72,10 @@
 impl Others {
     /// Returns whether it is time to gather what they say.
     fn is_due(&self, now: Instant) -> bool {
-        let peers = u32::try_from(self.peers.len() / LISTENED).unwrap_or(u32::MAX);
-        let interval = LISTEN.saturating_mul(peers).clamp(LISTEN, SELDOM);
+        let peers = u32::try_from(self.peers.len() / PEERS_PER_INTERVAL).unwrap_or(u32::MAX);
+        let interval = REFRESH_INTERVAL
+            .saturating_mul(peers)
+            .clamp(REFRESH_INTERVAL, MAX_REFRESH_INTERVAL);
         self.heard.is_none_or(|at| now >= at + interval)
     }
 
@@ -167,7 +169,7 @@
             demand: self.team_demand(now, team),
             lasts: match self.cut_left(now) {
                 Some(left) => left,
-                None if self.is_mostly_lost(team, left) => LAST,
+                None if self.is_mostly_lost(team, left) => RATION_PERIOD,
                 None => Duration::ZERO,
             },
         }
@@ -193,7 +195,7 @@
     /// Returns how much longer the log may be out of reach, if it is.
     pub(super) fn cut_left(&self, now: Instant) -> Option<Duration> {
         let passed = now.saturating_duration_since(self.away?);
-        Some(COVER.saturating_sub(passed).max(LEAST))
+        Some(COVER.saturating_sub(passed).max(MIN_OUTAGE_LEFT))
     }
 
     /// Returns whether more of a team's budget is out of reach than in it: dead routers may have spent it, and nobody can tell.
@@ -205,6 +207,6 @@
             .get(team)
             .map_or(Tokens::ZERO, |a| a.prepaid);
         let lost = self.left(team).saturating_sub(reach);
-        lost > reach && lost.0 > prepaid.0 / LOST
+        lost > reach && lost.0 > prepaid.0 / LOSS_DIVISOR
     }
 }
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -19,21 +19,21 @@
 use crate::tokens::Tokens;
 
 /// A promise is written anew at a review where the rate that it should allow has changed by more than this part.
-const RATE_CHANGE: f64 = 0.25;
+const MIN_RATE_CHANGE: f64 = 0.25;
 
 /// For how long a promise may have opened before it is written anew, though nothing was used.
-const LONGEST_OPENING: Duration = Duration::from_millis(500);
+const MAX_OPENING_TIME: Duration = Duration::from_millis(500);
 
 /// How much demand a router that is told to stop still holds: what its last callers ask for until they are told of others.
-const FADING_COVER: Duration = Duration::from_secs(2);
+const WIND_DOWN_COVER: Duration = Duration::from_secs(2);
 
 /// How often grants are brought to what the policy wants and promises are written anew, though no request waits. What a
 /// router may use between two promises is stranded where it dies; a call costs as much as a hundredth of a request's worth.
-const REVIEW: Duration = Duration::from_millis(300);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How often all routers together do so at most: each of a larger fleet does so less often. All write to one partition, each
 /// on the condition that no other did meanwhile, and who fails reads and writes again.
-const FLEET_REVIEW: Duration = Duration::from_millis(33);
+const FLEET_REVIEW_INTERVAL: Duration = Duration::from_millis(33);
 
 /// Whether a router goes on, as far as its budgets are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,9 @@
     /// Returns whether grants are to be looked over.
     pub(super) fn is_review_due(&self, now: Instant) -> bool {
         let writers = u32::try_from(self.writers()).unwrap_or(u32::MAX);
-        let interval = FLEET_REVIEW.saturating_mul(writers).max(REVIEW);
+        let interval = FLEET_REVIEW_INTERVAL
+            .saturating_mul(writers)
+            .max(REVIEW_INTERVAL);
         self.reviewed.is_none_or(|at| now >= at + interval)
     }
 
@@ -212,7 +214,7 @@
     /// Returns what a router that stops holds on to, beyond what is in use.
     fn kept_by_leaver(&self, now: Instant, allowance: &Allowance) -> Tokens {
         match self.stay {
-            Stay::Fading => Tokens((allowance.rate(now) * FADING_COVER.as_secs_f64()) as u64),
+            Stay::Fading => Tokens((allowance.rate(now) * WIND_DOWN_COVER.as_secs_f64()) as u64),
             Stay::Staying | Stay::Leaving => Tokens::ZERO,
         }
     }
@@ -241,11 +243,11 @@
             return row.granted > Tokens::ZERO;
         };
         let rate = old.rate.0.abs_diff(new.rate.0) as f64;
-        let rate_changed = rate > old.rate.0 as f64 * RATE_CHANGE;
+        let rate_changed = rate > old.rate.0 as f64 * MIN_RATE_CHANGE;
         let open = self.book.open(team, &self.clock.own(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
         let outgrown =
-            opened > new.rate.over(LONGEST_OPENING) && allowance.is_worth_writing(opened);
+            opened > new.rate.over(MAX_OPENING_TIME) && allowance.is_worth_writing(opened);
         row.granted > new.used.min(old.used) && (old.used != new.used || rate_changed || outgrown)
     }
 }
