--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -13,7 +13,7 @@
 use crate::router::event::LoanAsk;
 use crate::router::event::PurseWord;
 use crate::router::funds::Funds;
-use crate::router::loans::Wanted;
+use crate::router::loans::LoanNeed;
 use crate::router::review::Stay;
 use crate::tokens::Tokens;
 
@@ -52,13 +52,13 @@
                 continue;
             }
             let ahead = Tokens((allowance.own_rate(now) * LOAN_COVER.as_secs_f64()) as u64);
-            let wanted = Wanted {
+            let need = LoanNeed {
                 amount: needed.saturating_add(ahead).min(left),
-                asked: allowance.asked,
+                total_requested: allowance.asked,
                 priority: allowance.most_urgent(),
             };
             let lenders = self.others.lenders(&team);
-            effects.extend(allowance.loans.ask(now, me, &team, wanted, lenders));
+            effects.extend(allowance.loans.ask(now, me, &team, need, lenders));
         }
         effects
     }
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -49,30 +49,30 @@
 
 /// What a router asks others for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct LoanNeed {
     /// How much would help.
     pub(crate) amount: Tokens,
     /// All that this router's own callers have asked for so far.
-    pub(crate) asked: Tokens,
+    pub(crate) total_requested: Tokens,
     /// How urgent the most urgent request is that needs it, 0 being first.
     pub(crate) priority: u8,
 }
 
 /// A question on its way.
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRequest {
     number: u64,
     peer: Peer,
-    at: Instant,
+    sent_at: Instant,
 }
 
 /// A question that brought no answer. It may have been answered, and what was lent then is lost to both.
 #[derive(Clone, Debug)]
-struct Unanswered {
+struct UnansweredRequest {
     ask: LoanAsk,
     peer: Peer,
-    first: Instant,
-    last: Instant,
+    first_failure: Instant,
+    last_attempt: Instant,
 }
 
 /// One team's loans to and from this router.
@@ -87,11 +87,11 @@
     /// Gifts on their way.
     giving: u32,
     /// The question on its way, and whom it goes to.
-    asked: Option<Asked>,
+    pending: Option<PendingRequest>,
     /// How long the last one took that was answered.
     took: Duration,
     /// The questions that brought no answer.
-    unanswered: Vec<Unanswered>,
+    unanswered: Vec<UnansweredRequest>,
     /// The number of the last question.
     number: u64,
     /// Who brought nothing, and until when nobody asks there.
@@ -113,7 +113,7 @@
 
     /// Returns whether a loan is on its way, or somebody is left to ask.
     pub(crate) fn may_bring(&self, now: Instant) -> bool {
-        self.asked.is_some() || self.none.is_none_or(|at| now >= at + LENDER_BACKOFF)
+        self.pending.is_some() || self.none.is_none_or(|at| now >= at + LENDER_BACKOFF)
     }
 
     /// Asks the router that has most, if none is asked already.
@@ -122,10 +122,10 @@
         now: Instant,
         me: Incarnation,
         team: &TeamId,
-        wanted: Wanted,
+        need: LoanNeed,
         lenders: &[Lender],
     ) -> Option<Effect> {
-        if self.asked.is_some() {
+        if self.pending.is_some() {
             return None;
         }
         let idle = lenders
@@ -137,7 +137,7 @@
             return None;
         };
         let peer = lender.peer.clone();
-        Some(self.ask_peer(now, me, team, wanted, peer))
+        Some(self.ask_peer(now, me, team, need, peer))
     }
 
     /// Asks one of those that keep the budget, in turn, if none is asked already and some may have it.
@@ -146,21 +146,21 @@
         now: Instant,
         me: Incarnation,
         team: &TeamId,
-        wanted: Wanted,
+        need: LoanNeed,
         owners: &[Peer],
     ) -> Option<Effect> {
-        if self.asked.is_some() {
+        if self.pending.is_some() {
             return None;
         }
         let peer = self.next_owner(now, owners)?.clone();
-        Some(self.ask_peer(now, me, team, wanted, peer))
+        Some(self.ask_peer(now, me, team, need, peer))
     }
 
     /// Returns whether a question to one of those that keep the budget is on its way, or can be asked.
     pub(crate) fn may_ask_owner(&self, now: Instant, owners: &[Peer]) -> bool {
-        self.asked
+        self.pending
             .as_ref()
-            .is_some_and(|asked| owners.contains(&asked.peer))
+            .is_some_and(|pending| owners.contains(&pending.peer))
             || owners.iter().any(|peer| self.may_have(now, peer))
     }
 
@@ -174,23 +174,23 @@
         now: Instant,
         me: Incarnation,
         team: &TeamId,
-        wanted: Wanted,
+        need: LoanNeed,
         peer: Peer,
     ) -> Effect {
         self.none = None;
         self.number += 1;
-        self.asked = Some(Asked {
+        self.pending = Some(PendingRequest {
             number: self.number,
             peer: peer.clone(),
-            at: now,
+            sent_at: now,
         });
         let ask = LoanAsk {
             borrower: me,
             number: self.number,
             team: team.clone(),
-            amount: wanted.amount,
-            asked: wanted.asked,
-            priority: wanted.priority,
+            amount: need.amount,
+            asked: need.total_requested,
+            priority: need.priority,
         };
         Effect::Borrow(ask, peer)
     }
@@ -207,24 +207,24 @@
         ask: &LoanAsk,
         amount: Option<Tokens>,
     ) -> Option<Peer> {
-        let asked = self.asked.take_if(|asked| asked.number == ask.number);
-        let Some(Asked { peer, at, .. }) = asked else {
+        let pending = self.pending.take_if(|pending| pending.number == ask.number);
+        let Some(PendingRequest { peer, sent_at, .. }) = pending else {
             self.answered_late(ask, amount);
             return None;
         };
         if amount.is_some() {
-            self.took = now.saturating_duration_since(at);
+            self.took = now.saturating_duration_since(sent_at);
         } else {
             // Nothing more is asked for: a lender that the question never reached would lend what nobody needs any more.
             let ask = LoanAsk {
                 amount: Tokens::ZERO,
                 ..ask.clone()
             };
-            self.unanswered.push(Unanswered {
+            self.unanswered.push(UnansweredRequest {
                 ask,
                 peer: peer.clone(),
-                first: now,
-                last: now,
+                first_failure: now,
+                last_attempt: now,
             });
         }
         let amount = amount.unwrap_or(Tokens::ZERO);
@@ -241,7 +241,7 @@
         let Some(amount) = amount else {
             return;
         };
-        let waits = |open: &Unanswered| open.ask.number == ask.number;
+        let waits = |open: &UnansweredRequest| open.ask.number == ask.number;
         if let Some(place) = self.unanswered.iter().position(waits) {
             self.unanswered.swap_remove(place);
             self.borrowed += amount;
@@ -255,10 +255,11 @@
         F: Fn(&Peer) -> bool,
     {
         self.unanswered
-            .retain(|open| now < open.first + RETRY_WINDOW);
+            .retain(|open| now < open.first_failure + RETRY_WINDOW);
         let mut open = self.unanswered.iter_mut();
-        let open = open.find(|open| now >= open.last + RETRY_INTERVAL && answers(&open.peer))?;
-        open.last = now;
+        let open =
+            open.find(|open| now >= open.last_attempt + RETRY_INTERVAL && answers(&open.peer))?;
+        open.last_attempt = now;
         Some(Effect::Borrow(open.ask.clone(), open.peer.clone()))
     }
 
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -14,7 +14,7 @@
 use crate::router::event::LoanAsk;
 use crate::router::funds::Funds;
 use crate::router::lending::OWN_COVER;
-use crate::router::loans::Wanted;
+use crate::router::loans::LoanNeed;
 use crate::tokens::Tokens;
 
 /// How often a router looks for what it may give back to those that keep budgets: seldom enough that a caller's next request
@@ -56,13 +56,13 @@
         // Where answers take long, each further request would wait as long for the next one.
         let ahead = (allowance.loans.took() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
         let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
-        let wanted = Wanted {
+        let need = LoanNeed {
             amount: missing.saturating_add(Tokens(ahead as u64)).min(left),
-            asked: allowance.asked,
+            total_requested: allowance.asked,
             priority: allowance.most_urgent(),
         };
         let owners = self.ownership.answering(now, team);
-        allowance.loans.ask_owner(now, me, team, wanted, &owners)
+        allowance.loans.ask_owner(now, me, team, need, &owners)
     }
 
     /// Takes note of a team of which so little is left here that it would run out before a loan comes.
@@ -88,12 +88,12 @@
             if amount == Tokens::ZERO || !allowance.waiting.is_empty() {
                 continue;
             }
-            let wanted = Wanted {
+            let need = LoanNeed {
                 amount,
-                asked: allowance.asked,
+                total_requested: allowance.asked,
                 priority: LEAST_URGENT,
             };
-            effects.extend(allowance.loans.ask_owner(now, me, &team, wanted, &owners));
+            effects.extend(allowance.loans.ask_owner(now, me, &team, need, &owners));
         }
         effects
     }
