--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -32,7 +32,7 @@
     pub(crate) fn borrow(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         let mut effects = self.borrow_ahead(now, me);
         for team in self.waiting_teams() {
-            let hopeful = self.failures == 0 && self.reach(&team) > self.available(now, &team);
+            let log_may_help = self.failures == 0 && self.reach(&team) > self.available(now, &team);
             if self.is_owned_elsewhere(now, &team) {
                 effects.extend(self.borrow_owned(now, me, &team));
                 continue;
@@ -48,7 +48,7 @@
                 .front()
                 .map_or(now, |waiting| waiting.since);
             // The log gives what is undrawn within some milliseconds, where it answers at all.
-            if hopeful && now < first + LOAN_DELAY {
+            if log_may_help && now < first + LOAN_DELAY {
                 continue;
             }
             let ahead = Tokens((allowance.own_rate(now) * LOAN_COVER.as_secs_f64()) as u64);
@@ -58,7 +58,11 @@
                 priority: allowance.most_urgent(),
             };
             let lenders = self.others.lenders(&team);
-            effects.extend(allowance.loans.ask(now, me, &team, need, lenders));
+            effects.extend(
+                allowance
+                    .loans
+                    .request_from_peer(now, me, &team, need, lenders),
+            );
         }
         effects
     }
@@ -66,10 +70,10 @@
     /// Asks once more for the loans that brought no answer.
     pub(crate) fn ask_again(&mut self, now: Instant) -> Vec<Effect> {
         let ownership = &self.ownership;
-        let answers = |peer: &Peer| !ownership.is_mute(now, &peer.vm);
+        let is_responsive = |peer: &Peer| !ownership.is_mute(now, &peer.vm);
         let allowances = self.allowances.values_mut();
         allowances
-            .filter_map(|allowance| allowance.loans.ask_again(now, answers))
+            .filter_map(|allowance| allowance.loans.retry(now, is_responsive))
             .collect()
     }
 
@@ -81,17 +85,17 @@
             return Vec::new();
         }
         // What was borrowed can't go back to the log.
-        let parted = self.failures > 0;
+        let log_failing = self.failures > 0;
         let teams = self.allowances.keys();
-        let teams = teams.filter(|team| parted || !self.ownership.owners(team).is_empty());
+        let teams = teams.filter(|team| log_failing || !self.ownership.owners(team).is_empty());
         let teams: Vec<_> = teams.cloned().collect();
         let mut effects = Vec::new();
         for team in teams {
             let idle = self.available(now, &team);
             if idle > Tokens::ZERO {
                 let loans = &mut self.allowances[&team].loans;
-                let heirs = self.others.heirs(&team);
-                effects.extend(loans.give(me, &team, idle, &heirs));
+                let recipients = self.others.heirs(&team);
+                effects.extend(loans.transfer(me, &team, idle, &recipients));
             }
         }
         effects
@@ -101,7 +105,7 @@
     pub(crate) fn given(&mut self, gift: &Gift) {
         info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
         if let Some(allowance) = self.allowances.get_mut(&gift.team) {
-            allowance.loans.take(gift);
+            allowance.loans.receive(gift);
         }
     }
 
@@ -109,7 +113,7 @@
     pub(crate) fn taken(&mut self, gift: &Gift, taken: bool) {
         info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
         if let Some(allowance) = self.allowances.get_mut(&gift.team) {
-            allowance.loans.gave();
+            allowance.loans.finish_transfer();
         }
     }
 
@@ -141,7 +145,7 @@
     pub(crate) fn lent(&mut self, now: Instant, ask: &LoanAsk, amount: Option<Tokens>) {
         info!(event = "borrowed", number = ask.number, team = %ask.team, asked = %ask.amount, amount = ?amount.map(|a| a.0));
         if let Some(allowance) = self.allowances.get_mut(&ask.team) {
-            let asked = allowance.loans.lent_here(now, ask, amount);
+            let asked = allowance.loans.record_answer(now, ask, amount);
             if let Some(peer) = asked.filter(|_| amount.is_none()) {
                 self.ownership.silent(now, &peer);
             }
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -83,21 +83,21 @@
     /// What was answered to each question.
     answers: IndexMap<(Incarnation, u64), Tokens>,
     /// The gifts that were taken in, by their givers and numbers.
-    gifts: IndexMap<(Incarnation, u64), Tokens>,
+    received: IndexMap<(Incarnation, u64), Tokens>,
     /// Gifts on their way.
-    giving: u32,
+    unconfirmed: u32,
     /// The question on its way, and whom it goes to.
     pending: Option<PendingRequest>,
     /// How long the last one took that was answered.
-    took: Duration,
+    round_trip: Duration,
     /// The questions that brought no answer.
     unanswered: Vec<UnansweredRequest>,
     /// The number of the last question.
     number: u64,
     /// Who brought nothing, and until when nobody asks there.
-    dry: IndexMap<String, Instant>,
+    backoff_until: IndexMap<String, Instant>,
     /// When nobody was left to ask.
-    none: Option<Instant>,
+    no_lender_at: Option<Instant>,
 }
 
 impl Loans {
@@ -112,12 +112,15 @@
     }
 
     /// Returns whether a loan is on its way, or somebody is left to ask.
-    pub(crate) fn may_bring(&self, now: Instant) -> bool {
-        self.pending.is_some() || self.none.is_none_or(|at| now >= at + LENDER_BACKOFF)
+    pub(crate) fn can_borrow(&self, now: Instant) -> bool {
+        self.pending.is_some()
+            || self
+                .no_lender_at
+                .is_none_or(|at| now >= at + LENDER_BACKOFF)
     }
 
     /// Asks the router that has most, if none is asked already.
-    pub(crate) fn ask(
+    pub(crate) fn request_from_peer(
         &mut self,
         now: Instant,
         me: Incarnation,
@@ -128,20 +131,20 @@
         if self.pending.is_some() {
             return None;
         }
-        let idle = lenders
+        let candidates = lenders
             .iter()
-            .filter(|lender| self.may_have(now, &lender.peer))
+            .filter(|lender| self.is_eligible(now, &lender.peer))
             .filter(|lender| lender.free > Tokens::ZERO);
-        let Some(lender) = idle.max_by_key(|lender| lender.free) else {
-            self.none = Some(now);
+        let Some(lender) = candidates.max_by_key(|lender| lender.free) else {
+            self.no_lender_at = Some(now);
             return None;
         };
         let peer = lender.peer.clone();
-        Some(self.ask_peer(now, me, team, need, peer))
+        Some(self.send_request(now, me, team, need, peer))
     }
 
     /// Asks one of those that keep the budget, in turn, if none is asked already and some may have it.
-    pub(crate) fn ask_owner(
+    pub(crate) fn request_from_owner(
         &mut self,
         now: Instant,
         me: Incarnation,
@@ -153,23 +156,23 @@
             return None;
         }
         let peer = self.next_owner(now, owners)?.clone();
-        Some(self.ask_peer(now, me, team, need, peer))
+        Some(self.send_request(now, me, team, need, peer))
     }
 
     /// Returns whether a question to one of those that keep the budget is on its way, or can be asked.
-    pub(crate) fn may_ask_owner(&self, now: Instant, owners: &[Peer]) -> bool {
+    pub(crate) fn can_request_from_owner(&self, now: Instant, owners: &[Peer]) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|pending| owners.contains(&pending.peer))
-            || owners.iter().any(|peer| self.may_have(now, peer))
+            || owners.iter().any(|peer| self.is_eligible(now, peer))
     }
 
     /// Returns how long a question took that was answered of late.
-    pub(crate) fn took(&self) -> Duration {
-        self.took
+    pub(crate) fn round_trip(&self) -> Duration {
+        self.round_trip
     }
 
-    fn ask_peer(
+    fn send_request(
         &mut self,
         now: Instant,
         me: Incarnation,
@@ -177,7 +180,7 @@
         need: LoanNeed,
         peer: Peer,
     ) -> Effect {
-        self.none = None;
+        self.no_lender_at = None;
         self.number += 1;
         self.pending = Some(PendingRequest {
             number: self.number,
@@ -196,12 +199,12 @@
     }
 
     /// Returns the answer that a question got before.
-    pub(crate) fn answered(&self, ask: &LoanAsk) -> Option<Tokens> {
+    pub(crate) fn previous_answer(&self, ask: &LoanAsk) -> Option<Tokens> {
         self.answers.get(&(ask.borrower, ask.number)).copied()
     }
 
     /// Takes in the answer to the question on its way, and returns who was asked; none came where there is no amount.
-    pub(crate) fn lent_here(
+    pub(crate) fn record_answer(
         &mut self,
         now: Instant,
         ask: &LoanAsk,
@@ -209,11 +212,11 @@
     ) -> Option<Peer> {
         let pending = self.pending.take_if(|pending| pending.number == ask.number);
         let Some(PendingRequest { peer, sent_at, .. }) = pending else {
-            self.answered_late(ask, amount);
+            self.record_late_answer(ask, amount);
             return None;
         };
         if amount.is_some() {
-            self.took = now.saturating_duration_since(sent_at);
+            self.round_trip = now.saturating_duration_since(sent_at);
         } else {
             // Nothing more is asked for: a lender that the question never reached would lend what nobody needs any more.
             let ask = LoanAsk {
@@ -229,55 +232,57 @@
         }
         let amount = amount.unwrap_or(Tokens::ZERO);
         self.borrowed += amount;
-        self.dry.retain(|_, until| now < *until);
+        self.backoff_until.retain(|_, until| now < *until);
         if amount.0 < ask.amount.0 / MIN_LOAN_DIVISOR {
-            self.dry.insert(peer.address.clone(), now + LENDER_BACKOFF);
+            self.backoff_until
+                .insert(peer.address.clone(), now + LENDER_BACKOFF);
         }
         Some(peer)
     }
 
     /// Takes in the answer to a question that was asked again; none came where there is no amount.
-    fn answered_late(&mut self, ask: &LoanAsk, amount: Option<Tokens>) {
+    fn record_late_answer(&mut self, ask: &LoanAsk, amount: Option<Tokens>) {
         let Some(amount) = amount else {
             return;
         };
-        let waits = |open: &UnansweredRequest| open.ask.number == ask.number;
-        if let Some(place) = self.unanswered.iter().position(waits) {
-            self.unanswered.swap_remove(place);
+        let is_same = |entry: &UnansweredRequest| entry.ask.number == ask.number;
+        if let Some(index) = self.unanswered.iter().position(is_same) {
+            self.unanswered.swap_remove(index);
             self.borrowed += amount;
         }
     }
 
     /// Asks once more, under its old number, what brought no answer, if its lender is thought to answer now. That one gives the
     /// answer that it gave before, and what was lent is not lost.
-    pub(crate) fn ask_again<F>(&mut self, now: Instant, answers: F) -> Option<Effect>
+    pub(crate) fn retry<F>(&mut self, now: Instant, is_responsive: F) -> Option<Effect>
     where
         F: Fn(&Peer) -> bool,
     {
         self.unanswered
-            .retain(|open| now < open.first_failure + RETRY_WINDOW);
-        let mut open = self.unanswered.iter_mut();
-        let open =
-            open.find(|open| now >= open.last_attempt + RETRY_INTERVAL && answers(&open.peer))?;
-        open.last_attempt = now;
-        Some(Effect::Borrow(open.ask.clone(), open.peer.clone()))
+            .retain(|entry| now < entry.first_failure + RETRY_WINDOW);
+        let mut entry = self.unanswered.iter_mut();
+        let entry = entry.find(|entry| {
+            now >= entry.last_attempt + RETRY_INTERVAL && is_responsive(&entry.peer)
+        })?;
+        entry.last_attempt = now;
+        Some(Effect::Borrow(entry.ask.clone(), entry.peer.clone()))
     }
 
     /// Hands an amount over to the router that asks for the budget most. It counts as lent from here on, whether the other
     /// router hears of it or not.
-    pub(crate) fn give(
+    pub(crate) fn transfer(
         &mut self,
         me: Incarnation,
         team: &TeamId,
         amount: Tokens,
-        heirs: &[Lender],
+        recipients: &[Lender],
     ) -> Option<Effect> {
-        let heir = heirs.iter().max_by_key(|lender| lender.demand)?;
-        Some(self.give_to(me, team, amount, heir.peer.clone()))
+        let recipient = recipients.iter().max_by_key(|budget| budget.demand)?;
+        Some(self.transfer_to(me, team, amount, recipient.peer.clone()))
     }
 
     /// Hands an amount over to one of those that keep the budget, in turn, if one of them may be there.
-    pub(crate) fn give_owner(
+    pub(crate) fn transfer_to_owner(
         &mut self,
         now: Instant,
         me: Incarnation,
@@ -286,13 +291,19 @@
         owners: &[Peer],
     ) -> Option<Effect> {
         let peer = self.next_owner(now, owners)?.clone();
-        Some(self.give_to(me, team, amount, peer))
+        Some(self.transfer_to(me, team, amount, peer))
     }
 
-    fn give_to(&mut self, me: Incarnation, team: &TeamId, amount: Tokens, peer: Peer) -> Effect {
+    fn transfer_to(
+        &mut self,
+        me: Incarnation,
+        team: &TeamId,
+        amount: Tokens,
+        peer: Peer,
+    ) -> Effect {
         self.lent += amount;
         self.number += 1;
-        self.giving += 1;
+        self.unconfirmed += 1;
         let gift = Gift {
             giver: me,
             number: self.number,
@@ -304,51 +315,51 @@
 
     /// Returns the one of those that keep the budget whose turn it is, but for those that brought nothing of late.
     fn next_owner<'a>(&self, now: Instant, owners: &'a [Peer]) -> Option<&'a Peer> {
-        let from = usize::try_from(self.number).unwrap_or(0) % owners.len().max(1);
-        let mut turn = owners.iter().cycle().skip(from).take(owners.len());
-        turn.find(|peer| self.may_have(now, peer))
+        let start = usize::try_from(self.number).unwrap_or(0) % owners.len().max(1);
+        let mut candidates = owners.iter().cycle().skip(start).take(owners.len());
+        candidates.find(|peer| self.is_eligible(now, peer))
     }
 
-    fn may_have(&self, now: Instant, peer: &Peer) -> bool {
-        self.dry
+    fn is_eligible(&self, now: Instant, peer: &Peer) -> bool {
+        self.backoff_until
             .get(&peer.address)
             .is_none_or(|until| now >= *until)
     }
 
     /// Returns whether gifts are on their way.
-    pub(crate) fn is_giving(&self) -> bool {
-        self.giving > 0
+    pub(crate) fn has_unconfirmed(&self) -> bool {
+        self.unconfirmed > 0
     }
 
     /// Notes that a gift arrived, or that nobody knows.
-    pub(crate) fn gave(&mut self) {
-        self.giving = self.giving.saturating_sub(1);
+    pub(crate) fn finish_transfer(&mut self) {
+        self.unconfirmed = self.unconfirmed.saturating_sub(1);
     }
 
     /// Takes a gift in, once.
-    pub(crate) fn take(&mut self, gift: &Gift) {
-        let name = (gift.giver, gift.number);
-        if self.gifts.insert(name, gift.amount).is_none() {
+    pub(crate) fn receive(&mut self, gift: &Gift) {
+        let key = (gift.giver, gift.number);
+        if self.received.insert(key, gift.amount).is_none() {
             self.borrowed += gift.amount;
         }
-        if self.gifts.len() > HISTORY_CAPACITY {
-            self.gifts.shift_remove_index(0);
+        if self.received.len() > HISTORY_CAPACITY {
+            self.received.shift_remove_index(0);
         }
     }
 
     /// Answers a question out of what is to spare; one that was answered before gets the same answer.
     pub(crate) fn lend(&mut self, ask: &LoanAsk, spare: Tokens) -> Tokens {
-        if let Some(answer) = self.answered(ask) {
+        if let Some(answer) = self.previous_answer(ask) {
             return answer;
         }
-        let name = (ask.borrower, ask.number);
+        let key = (ask.borrower, ask.number);
         let amount = ask.amount.min(spare);
         info!(
             event = "lent", to = %ask.borrower, number = ask.number, team = %ask.team, asked = %ask.amount,
             lent = %amount, %spare,
         );
         self.lent += amount;
-        self.answers.insert(name, amount);
+        self.answers.insert(key, amount);
         if self.answers.len() > HISTORY_CAPACITY {
             self.answers.shift_remove_index(0);
         }
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -30,7 +30,7 @@
 impl Allowance {
     /// Returns what callers here ask for while a loan is on its way, where it takes so long that several of them come.
     fn loan_demand(&self, now: Instant) -> Tokens {
-        let time = (self.loans.took() * ROUND_TRIPS_AHEAD).min(OWN_COVER / 2);
+        let time = (self.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER / 2);
         let demand = self.own_rate(now) * time.as_secs_f64();
         match demand > self.size {
             true => Tokens(demand as u64),
@@ -54,7 +54,7 @@
         let left = self.left(team);
         let allowance = &mut self.allowances[team];
         // Where answers take long, each further request would wait as long for the next one.
-        let ahead = (allowance.loans.took() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
+        let ahead = (allowance.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
         let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
         let need = LoanNeed {
             amount: missing.saturating_add(Tokens(ahead as u64)).min(left),
@@ -62,7 +62,9 @@
             priority: allowance.most_urgent(),
         };
         let owners = self.ownership.answering(now, team);
-        allowance.loans.ask_owner(now, me, team, need, &owners)
+        allowance
+            .loans
+            .request_from_owner(now, me, team, need, &owners)
     }
 
     /// Takes note of a team of which so little is left here that it would run out before a loan comes.
@@ -93,7 +95,11 @@
                 total_requested: allowance.asked,
                 priority: LEAST_URGENT,
             };
-            effects.extend(allowance.loans.ask_owner(now, me, &team, need, &owners));
+            effects.extend(
+                allowance
+                    .loans
+                    .request_from_owner(now, me, &team, need, &owners),
+            );
         }
         effects
     }
@@ -119,7 +125,11 @@
             let owners = self.ownership.answering(now, &team);
             let allowance = &mut self.allowances[&team];
             if idle > kept {
-                effects.extend(allowance.loans.give_owner(now, me, &team, idle, &owners));
+                effects.extend(
+                    allowance
+                        .loans
+                        .transfer_to_owner(now, me, &team, idle, &owners),
+                );
             }
         }
         effects
@@ -129,7 +139,7 @@
     pub(super) fn is_owned_elsewhere(&self, now: Instant, team: &TeamId) -> bool {
         let owners = self.ownership.answering(now, team);
         let allowance = self.allowances.get(team);
-        allowance.is_some_and(|allowance| allowance.loans.may_ask_owner(now, &owners))
+        allowance.is_some_and(|allowance| allowance.loans.can_request_from_owner(now, &owners))
     }
 
     /// Lends out of a budget that this router keeps for others: their requests are served like its own.
@@ -145,7 +155,7 @@
         let Some(allowance) = self.allowances.get_mut(&ask.team) else {
             return Some(Tokens::ZERO);
         };
-        if let Some(answer) = allowance.loans.answered(ask) {
+        if let Some(answer) = allowance.loans.previous_answer(ask) {
             return Some(answer);
         }
         allowance.expect_loan(now, ask, TEAM_OWNERS as u64);
@@ -174,7 +184,7 @@
         let Some(allowance) = self.allowances.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
-        if let Some(answer) = allowance.loans.answered(ask) {
+        if let Some(answer) = allowance.loans.previous_answer(ask) {
             return answer;
         }
         let lent = allowance.loans.lend(ask, open);
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -63,7 +63,7 @@
     pub(crate) fn left_all(&self) -> bool {
         let teams = self.allowances.keys();
         let mut idle = teams.map(|team| self.held(team).min(self.book.granted(team)));
-        let giving = self.allowances.values().any(|a| a.loans.is_giving());
+        let giving = self.allowances.values().any(|a| a.loans.has_unconfirmed());
         let settled = self.book.pending().is_none() || self.failures > 0;
         settled && !giving && idle.all(|idle| idle == Tokens::ZERO)
     }
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -103,7 +103,7 @@
             let reach = self.reach(&team);
             let held = self.held(&team);
             let fresh = self.fresh;
-            let borrows = self.allowances[&team].loans.may_bring(now);
+            let borrows = self.allowances[&team].loans.can_borrow(now);
             let away = self.failures > 0 || self.book.end().is_none();
             self.allowances[&team].waiting.retain(|waiting| {
                 let asked = fresh.is_some_and(|at| at + FRESH >= waiting.since);
