--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -134,11 +134,11 @@
         self.effects.extend(call);
         let loans = self.funds.borrow(now, self.me);
         self.effects.extend(loans);
-        let again = self.funds.ask_again(now);
+        let again = self.funds.retry_loans(now);
         self.effects.extend(again);
-        let rests = self.funds.give_back(now, self.me);
+        let rests = self.funds.return_unused(now, self.me);
         self.effects.extend(rests);
-        let gifts = self.funds.hand_over(now, self.me);
+        let gifts = self.funds.transfer_idle(now, self.me);
         self.effects.extend(gifts);
     }
 
@@ -146,7 +146,7 @@
     pub(crate) fn given(&mut self, id: AdminId, gift: &Gift) {
         let status = if self.serving() { 200 } else { 503 };
         if self.serving() {
-            self.funds.given(gift);
+            self.funds.receive_transfer(gift);
         }
         self.effects.push(Effect::Answer(id, status, json!(null)));
     }
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -34,7 +34,7 @@
         for team in self.waiting_teams() {
             let log_may_help = self.failures == 0 && self.reach(&team) > self.available(now, &team);
             if self.is_owned_elsewhere(now, &team) {
-                effects.extend(self.borrow_owned(now, me, &team));
+                effects.extend(self.borrow_from_owners(now, me, &team));
                 continue;
             }
             let left = self.left(&team);
@@ -68,7 +68,7 @@
     }
 
     /// Asks once more for the loans that brought no answer.
-    pub(crate) fn ask_again(&mut self, now: Instant) -> Vec<Effect> {
+    pub(crate) fn retry_loans(&mut self, now: Instant) -> Vec<Effect> {
         let ownership = &self.ownership;
         let is_responsive = |peer: &Peer| !ownership.is_mute(now, &peer.vm);
         let allowances = self.allowances.values_mut();
@@ -80,7 +80,7 @@
     /// Hands over to other routers what is idle here, where the log can't take it back.
     ///
     /// A planned stop in a cut from the log would else take ten seconds' worth of each team's budget with it.
-    pub(crate) fn hand_over(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
+    pub(crate) fn transfer_idle(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         if self.stay != Stay::Leaving {
             return Vec::new();
         }
@@ -102,7 +102,7 @@
     }
 
     /// Takes in what another router hands over.
-    pub(crate) fn given(&mut self, gift: &Gift) {
+    pub(crate) fn receive_transfer(&mut self, gift: &Gift) {
         info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
         if let Some(allowance) = self.allowances.get_mut(&gift.team) {
             allowance.loans.receive(gift);
@@ -110,7 +110,7 @@
     }
 
     /// Notes that another router has what was handed over to it, or that nobody knows.
-    pub(crate) fn taken(&mut self, gift: &Gift, taken: bool) {
+    pub(crate) fn finish_transfer(&mut self, gift: &Gift, taken: bool) {
         info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
         if let Some(allowance) = self.allowances.get_mut(&gift.team) {
             allowance.loans.finish_transfer();
@@ -142,27 +142,32 @@
     }
 
     /// Takes in what another router lent, or that it did not answer.
-    pub(crate) fn lent(&mut self, now: Instant, ask: &LoanAsk, amount: Option<Tokens>) {
+    pub(crate) fn record_loan_answer(
+        &mut self,
+        now: Instant,
+        ask: &LoanAsk,
+        amount: Option<Tokens>,
+    ) {
         info!(event = "borrowed", number = ask.number, team = %ask.team, asked = %ask.amount, amount = ?amount.map(|a| a.0));
         if let Some(allowance) = self.allowances.get_mut(&ask.team) {
-            let asked = allowance.loans.record_answer(now, ask, amount);
-            if let Some(peer) = asked.filter(|_| amount.is_none()) {
+            let lender = allowance.loans.record_answer(now, ask, amount);
+            if let Some(peer) = lender.filter(|_| amount.is_none()) {
                 self.ownership.silent(now, &peer);
             }
         }
     }
 
     /// Returns what others should know of this router's budgets: what lies idle here, and how fast it is asked for.
-    pub(crate) fn words(&self, now: Instant) -> Vec<PurseWord> {
-        let kept = self.allowances.iter();
-        let kept = kept.filter(|(team, _)| self.ownership.owners(team).is_empty());
-        let words = kept.map(|(team, allowance)| PurseWord {
+    pub(crate) fn budget_report(&self, now: Instant) -> Vec<PurseWord> {
+        let owned = self.allowances.iter();
+        let owned = owned.filter(|(team, _)| self.ownership.owners(team).is_empty());
+        let budgets = owned.map(|(team, allowance)| PurseWord {
             team: team.clone(),
             free: self.held(team),
             demand: allowance.rate(now) as u64,
         });
-        words
-            .filter(|word| word.free > Tokens::ZERO || word.demand > 0)
+        budgets
+            .filter(|budget| budget.free > Tokens::ZERO || budget.demand > 0)
             .collect()
     }
 }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -320,7 +320,7 @@
             drained: self.drained.clone(),
             clock: self.tuning.clock.at(now).wall,
             purses: match self.tuning.accounting {
-                Accounting::Grants(_) => self.funds.words(now),
+                Accounting::Grants(_) => self.funds.budget_report(now),
                 Accounting::Ledger => Vec::new(),
             },
         }
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -41,7 +41,7 @@
 
 impl Funds {
     /// Asks those that keep a team's budget for what its requests need.
-    pub(super) fn borrow_owned(
+    pub(super) fn borrow_from_owners(
         &mut self,
         now: Instant,
         me: Incarnation,
@@ -68,10 +68,10 @@
     }
 
     /// Takes note of a team of which so little is left here that it would run out before a loan comes.
-    pub(super) fn note_low(&mut self, now: Instant, team: &TeamId, rest: Tokens) {
+    pub(super) fn note_low(&mut self, now: Instant, team: &TeamId, remaining: Tokens) {
         let borrows = !self.ownership.owners(team).is_empty();
         let allowance = &self.allowances[team];
-        if borrows && rest < allowance.loan_demand(now) && allowance.waiting.is_empty() {
+        if borrows && remaining < allowance.loan_demand(now) && allowance.waiting.is_empty() {
             self.low.insert(team.clone());
         }
     }
@@ -81,12 +81,12 @@
         let mut effects = Vec::new();
         for team in std::mem::take(&mut self.low) {
             let left = self.left(&team);
-            let rest = self.available(now, &team);
+            let remaining = self.available(now, &team);
             let owners = self.ownership.answering(now, &team);
             let allowance = &mut self.allowances[&team];
             let demand = allowance.loan_demand(now);
             let aim = demand.saturating_add(demand);
-            let amount = aim.saturating_sub(rest).min(left);
+            let amount = aim.saturating_sub(remaining).min(left);
             if amount == Tokens::ZERO || !allowance.waiting.is_empty() {
                 continue;
             }
@@ -107,7 +107,7 @@
     /// Gives back to those that keep a budget what requests here left over of what was borrowed for them.
     ///
     /// Two hundred routers that each held on to the rest of one request would hold seconds of a team's demand.
-    pub(crate) fn give_back(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
+    pub(crate) fn return_unused(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         if self.gave_back.is_some_and(|at| now < at + RETURN_INTERVAL) {
             return Vec::new();
         }
@@ -150,8 +150,8 @@
         ask: &LoanAsk,
     ) -> Option<Tokens> {
         let open = self.open_to(now, &ask.team, ask.priority);
-        let rest = self.remainder(now, &ask.team);
-        let away = self.failures > 0;
+        let remainder = self.remainder(now, &ask.team);
+        let log_failing = self.failures > 0;
         let Some(allowance) = self.allowances.get_mut(&ask.team) else {
             return Some(Tokens::ZERO);
         };
@@ -162,11 +162,14 @@
         if allowance.join_waiting(id, ask) {
             return None;
         }
-        if !allowance.ration.pays(now, &rest, ask.priority, ask.amount) {
+        if !allowance
+            .ration
+            .pays(now, &remainder, ask.priority, ask.amount)
+        {
             return Some(Tokens::ZERO);
         }
         let first = allowance.waiting.is_empty();
-        if away || first && open >= ask.amount {
+        if log_failing || first && open >= ask.amount {
             return Some(self.lend_open(now, ask));
         }
         allowance.waiting.push_back(Waiting {
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -316,10 +316,10 @@
         team: ask.team.clone(),
         amount: Tokens(500),
     };
-    let before = site.core.funds.words(site.now)[0].free;
-    site.core.funds.given(&gift);
-    site.core.funds.given(&gift);
-    let after = site.core.funds.words(site.now)[0].free;
+    let before = site.core.funds.budget_report(site.now)[0].free;
+    site.core.funds.receive_transfer(&gift);
+    site.core.funds.receive_transfer(&gift);
+    let after = site.core.funds.budget_report(site.now)[0].free;
     assert_eq!(after - before, Tokens(500));
 }
 
