--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -140,12 +140,12 @@
             self.reviewed = None;
         }
         self.clock.expect(peers.len());
-        self.ownership.take_routers(me, routers, peers);
+        self.ownership.set_routers(me, routers, peers);
     }
 
     /// Takes note of another router's sign of life.
     pub(crate) fn heard(&mut self, now: Instant, beat: &Heartbeat) {
-        self.ownership.heard(&beat.vm);
+        self.ownership.mark_responsive(&beat.vm);
         // What dead lifetimes left can be given back from here on.
         if self.clock.hear(now, &beat.vm, beat.clock) {
             self.reviewed = None;
@@ -159,7 +159,7 @@
                 continue;
             };
             if !self.allowances.contains_key(&payer.team) {
-                self.ownership.add(&payer.team);
+                self.ownership.add_team(&payer.team);
             }
             let allowance = self.allowances.entry(payer.team.clone());
             let allowance = allowance.or_insert_with(|| Allowance::new(now));
@@ -414,7 +414,7 @@
         self.allowances.get(team).map_or(Tokens::ZERO, |allowance| {
             let here = allowance.spent.saturating_add(allowance.reserved);
             let used = here.saturating_add(self.book.others_spent(team));
-            let in_transit = match self.ownership.is_everyone() {
+            let in_transit = match self.ownership.is_owned_by_all() {
                 true => Tokens::ZERO,
                 false => Tokens(allowance.prepaid.0 / IN_TRANSIT),
             };
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -70,7 +70,7 @@
     /// Asks once more for the loans that brought no answer.
     pub(crate) fn retry_loans(&mut self, now: Instant) -> Vec<Effect> {
         let ownership = &self.ownership;
-        let is_responsive = |peer: &Peer| !ownership.is_mute(now, &peer.vm);
+        let is_responsive = |peer: &Peer| !ownership.is_unresponsive(now, &peer.vm);
         let allowances = self.allowances.values_mut();
         allowances
             .filter_map(|allowance| allowance.loans.retry(now, is_responsive))
@@ -152,7 +152,7 @@
         if let Some(allowance) = self.allowances.get_mut(&ask.team) {
             let lender = allowance.loans.record_answer(now, ask, amount);
             if let Some(peer) = lender.filter(|_| amount.is_none()) {
-                self.ownership.silent(now, &peer);
+                self.ownership.mark_unresponsive(now, &peer);
             }
         }
     }
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -61,7 +61,7 @@
             total_requested: allowance.asked,
             priority: allowance.most_urgent(),
         };
-        let owners = self.ownership.answering(now, team);
+        let owners = self.ownership.responsive_owners(now, team);
         allowance
             .loans
             .request_from_owner(now, me, team, need, &owners)
@@ -82,7 +82,7 @@
         for team in std::mem::take(&mut self.low) {
             let left = self.left(&team);
             let remaining = self.available(now, &team);
-            let owners = self.ownership.answering(now, &team);
+            let owners = self.ownership.responsive_owners(now, &team);
             let allowance = &mut self.allowances[&team];
             let demand = allowance.loan_demand(now);
             let aim = demand.saturating_add(demand);
@@ -122,7 +122,7 @@
             }
             let kept = Tokens((allowance.own_rate(now) * OWN_COVER.as_secs_f64()) as u64);
             let idle = self.available(now, &team);
-            let owners = self.ownership.answering(now, &team);
+            let owners = self.ownership.responsive_owners(now, &team);
             let allowance = &mut self.allowances[&team];
             if idle > kept {
                 effects.extend(
@@ -137,7 +137,7 @@
 
     /// Returns whether others keep a team's budget for this router, and one of them may have some of it.
     pub(super) fn is_owned_elsewhere(&self, now: Instant, team: &TeamId) -> bool {
-        let owners = self.ownership.answering(now, team);
+        let owners = self.ownership.responsive_owners(now, team);
         let allowance = self.allowances.get(team);
         allowance.is_some_and(|allowance| allowance.loans.can_request_from_owner(now, &owners))
     }
--- a/src/router/ownership.rs
+++ b/src/router/ownership.rs
@@ -22,28 +22,28 @@
     peers: IndexMap<VmId, Peer>,
     me: Option<VmId>,
     /// The owners of each team that this router does not keep.
-    elsewhere: IndexMap<TeamId, Vec<Peer>>,
+    remote_owners: IndexMap<TeamId, Vec<Peer>>,
     /// Who did not answer, and until when it is not asked again.
-    mute: IndexMap<VmId, Instant>,
+    unresponsive_until: IndexMap<VmId, Instant>,
 }
 
 impl Ownership {
     /// Takes over who the routers are.
-    pub(super) fn take_routers(&mut self, me: &VmId, routers: Vec<Candidate>, peers: &[Peer]) {
+    pub(super) fn set_routers(&mut self, me: &VmId, routers: Vec<Candidate>, peers: &[Peer]) {
         self.me = Some(me.clone());
         self.owners = Owners::draw(routers);
         let peers = peers.iter().map(|peer| (peer.vm.clone(), peer.clone()));
         self.peers = peers.collect();
-        let teams: Vec<_> = self.elsewhere.keys().cloned().collect();
-        self.elsewhere.clear();
-        teams.iter().for_each(|team| self.add(team));
+        let teams: Vec<_> = self.remote_owners.keys().cloned().collect();
+        self.remote_owners.clear();
+        teams.iter().for_each(|team| self.add_team(team));
     }
 
     /// Takes note of a team.
-    pub(super) fn add(&mut self, team: &TeamId) {
+    pub(super) fn add_team(&mut self, team: &TeamId) {
         let owners = self.owners.of(team);
-        let mine = self.me.as_ref().is_some_and(|me| owners.contains(&me));
-        let peers = match mine {
+        let is_owner = self.me.as_ref().is_some_and(|me| owners.contains(&me));
+        let peers = match is_owner {
             true => Vec::new(),
             false => owners
                 .iter()
@@ -51,37 +51,39 @@
                 .cloned()
                 .collect(),
         };
-        self.elsewhere.insert(team.clone(), peers);
+        self.remote_owners.insert(team.clone(), peers);
     }
 
     /// Returns who keeps a team's budget for this router; nobody where it keeps it itself.
     pub(super) fn owners(&self, team: &TeamId) -> &[Peer] {
-        self.elsewhere.get(team).map_or(&[], Vec::as_slice)
+        self.remote_owners.get(team).map_or(&[], Vec::as_slice)
     }
 
     /// Returns those that keep a team's budget for this router and are thought to answer.
-    pub(super) fn answering(&self, now: Instant, team: &TeamId) -> Vec<Peer> {
+    pub(super) fn responsive_owners(&self, now: Instant, team: &TeamId) -> Vec<Peer> {
         let owners = self.owners(team).iter();
         owners
-            .filter(|peer| !self.is_mute(now, &peer.vm))
+            .filter(|peer| !self.is_unresponsive(now, &peer.vm))
             .cloned()
             .collect()
     }
 
     /// Returns whether a router did not answer of late, and was not heard of since.
-    pub(super) fn is_mute(&self, now: Instant, vm: &VmId) -> bool {
-        self.mute.get(vm).is_some_and(|until| now < *until)
+    pub(super) fn is_unresponsive(&self, now: Instant, vm: &VmId) -> bool {
+        self.unresponsive_until
+            .get(vm)
+            .is_some_and(|until| now < *until)
     }
 
     /// Takes note that a router did not answer, whatever budget it was asked for.
-    pub(super) fn silent(&mut self, now: Instant, peer: &Peer) {
-        self.mute
+    pub(super) fn mark_unresponsive(&mut self, now: Instant, peer: &Peer) {
+        self.unresponsive_until
             .insert(peer.vm.clone(), now + UNRESPONSIVE_BACKOFF);
     }
 
     /// Takes note of a sign of life.
-    pub(super) fn heard(&mut self, vm: &VmId) {
-        self.mute.swap_remove(vm);
+    pub(super) fn mark_responsive(&mut self, vm: &VmId) {
+        self.unresponsive_until.swap_remove(vm);
     }
 
     /// Returns whether this router is one of the few that keep a team's budget for all.
@@ -96,7 +98,7 @@
     }
 
     /// Returns whether all routers keep all budgets.
-    pub(super) fn is_everyone(&self) -> bool {
+    pub(super) fn is_owned_by_all(&self) -> bool {
         self.owners.is_everyone()
     }
 }
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -80,7 +80,7 @@
     /// Returns whether the log has no writes to spare for rests. Where few routers write it has, and who waits elsewhere has
     /// them sooner.
     fn spares_log(&self) -> bool {
-        !self.ownership.is_everyone()
+        !self.ownership.is_owned_by_all()
     }
 
     /// Returns whether others may wait for what lies idle here of a team's budget.
@@ -90,7 +90,7 @@
 
     /// Returns how many routers write grants.
     fn writers(&self) -> usize {
-        match self.ownership.is_everyone() {
+        match self.ownership.is_owned_by_all() {
             true => self.others.routers() + 1,
             false => OWNERS,
         }
@@ -149,7 +149,7 @@
     /// Returns how much of a grant others are told is spent. What an owner lends is spent by routers that write nothing
     /// themselves; where all keep, who borrows says so itself.
     fn told_spent(&self, allowance: &Allowance) -> Tokens {
-        match self.ownership.is_everyone() {
+        match self.ownership.is_owned_by_all() {
             true => allowance.spent,
             false => allowance.gone(),
         }
