--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -27,7 +27,7 @@
 use crate::router::event::Heartbeat;
 use crate::router::fleet_clock::FleetClock;
 use crate::router::ownership::Ownership;
-use crate::router::rationing::Others;
+use crate::router::rationing::PeerBudgets;
 use crate::router::review::Stay;
 use crate::tokens::Tokens;
 
@@ -88,7 +88,7 @@
     /// Since when the log has not answered.
     pub(super) away: Option<Instant>,
     /// What other routers say of their budgets.
-    pub(super) others: Others,
+    pub(super) others: PeerBudgets,
     /// No call before this.
     rest: Instant,
     /// When the book was last known to be up to date.
@@ -122,7 +122,7 @@
             behind: false,
             failures: 0,
             away: None,
-            others: Others::default(),
+            others: PeerBudgets::default(),
             rest: now,
             fresh: None,
             reviewed: None,
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -123,9 +123,9 @@
                 }
             }
         }
-        if self.funds.listens(now) {
+        if self.funds.is_refresh_due(now) {
             let words = self.members.budget_words(now);
-            self.funds.hear(now, &words);
+            self.funds.update_peer_budgets(now, &words);
         }
         if !self.funds.is_due(now) {
             return;
@@ -178,7 +178,7 @@
             true => HELD_RETRY,
             false => LOST_RETRY,
         };
-        let retry = self.funds.cut_left(now).unwrap_or(usual);
+        let retry = self.funds.outage_left(now).unwrap_or(usual);
         let retry = retry.mul_f64(1.0 + self.rng.random_range(0.0..SPREAD));
         let problem = match why {
             Unfunded::Spent => {
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -94,7 +94,7 @@
             let idle = self.available(now, &team);
             if idle > Tokens::ZERO {
                 let loans = &mut self.allowances[&team].loans;
-                let recipients = self.others.heirs(&team);
+                let recipients = self.others.recipients(&team);
                 effects.extend(loans.transfer(me, &team, idle, &recipients));
             }
         }
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -38,7 +38,7 @@
 
 /// Another router, and what it last said of one team's budget.
 #[derive(Clone, Debug)]
-pub(crate) struct Lender {
+pub(crate) struct PeerBudget {
     /// How to reach it.
     pub(crate) peer: Peer,
     /// What lies idle there.
@@ -126,7 +126,7 @@
         me: Incarnation,
         team: &TeamId,
         need: LoanNeed,
-        lenders: &[Lender],
+        lenders: &[PeerBudget],
     ) -> Option<Effect> {
         if self.pending.is_some() {
             return None;
@@ -275,7 +275,7 @@
         me: Incarnation,
         team: &TeamId,
         amount: Tokens,
-        recipients: &[Lender],
+        recipients: &[PeerBudget],
     ) -> Option<Effect> {
         let recipient = recipients.iter().max_by_key(|budget| budget.demand)?;
         Some(self.transfer_to(me, team, amount, recipient.peer.clone()))
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -21,7 +21,7 @@
 use crate::router::event::Heartbeat;
 use crate::router::event::KeptBatches;
 use crate::router::event::Silence;
-use crate::router::rationing::BudgetWords;
+use crate::router::rationing::BudgetReport;
 use crate::router::roster::Roster;
 use crate::vms::VmList;
 use crate::vms::VmState;
@@ -232,16 +232,16 @@
     }
 
     /// Returns the routers heard of lately, and what they said of their budgets.
-    pub(crate) fn budget_words(&self, now: Instant) -> Vec<BudgetWords> {
+    pub(crate) fn budget_words(&self, now: Instant) -> Vec<BudgetReport> {
         let fresh = |vm: &VmId| {
             let (at, beat) = self.heard.get(vm)?;
             (now < *at + self.fresh).then_some(beat)
         };
         let peers = self.roster.peers();
         let words = peers.iter().filter_map(|peer| {
-            Some(BudgetWords {
+            Some(BudgetReport {
                 peer: peer.clone(),
-                words: fresh(&peer.vm)?.purses.clone(),
+                budgets: fresh(&peer.vm)?.purses.clone(),
             })
         });
         words.collect()
@@ -286,7 +286,7 @@
         self.take_drained(now, &beat.drained);
         let before = self.members.heard.insert(beat.vm.clone(), (now, beat));
         if before.is_none() {
-            self.funds.listen();
+            self.funds.request_refresh();
         }
     }
 
--- a/src/router/rationing.rs
+++ b/src/router/rationing.rs
@@ -13,7 +13,7 @@
 use crate::router::event::PurseWord;
 use crate::router::funds::COVER;
 use crate::router::funds::Funds;
-use crate::router::loans::Lender;
+use crate::router::loans::PeerBudget;
 use crate::tokens::Tokens;
 
 /// How long the rest of a budget is to last for its most urgent requests where most of it is out of reach: as long as a loss
@@ -39,22 +39,22 @@
 
 /// A router that was heard of lately, and what it said of its budgets.
 #[derive(Clone, Debug)]
-pub(crate) struct BudgetWords {
+pub(crate) struct BudgetReport {
     /// How to reach it.
     pub(crate) peer: Peer,
     /// What it said.
-    pub(crate) words: Vec<PurseWord>,
+    pub(crate) budgets: Vec<PurseWord>,
 }
 
 /// What the other routers say of one budget.
 #[derive(Debug, Default)]
-struct Elsewhere {
+struct PeerTotals {
     /// What lies idle at all of them.
     free: Tokens,
     /// How fast it is asked for at all of them, in tokens a second.
     demand: f64,
     /// Each of them.
-    lenders: Vec<Lender>,
+    budgets: Vec<PeerBudget>,
 }
 
 /// What the other routers say of all budgets, and when it was last gathered.
@@ -62,40 +62,40 @@
 /// Gathered for each event while a request waits, as in a cut, it took two fifths of what a router used of its processor in a
 /// fleet of 64 routers and 24 teams.
 #[derive(Debug, Default)]
-pub(super) struct Others {
+pub(super) struct PeerBudgets {
     /// Those that said anything lately, whatever of.
     peers: Vec<Peer>,
-    teams: IndexMap<TeamId, Elsewhere, BuildHasherDefault<FastHasher>>,
-    heard: Option<Instant>,
+    teams: IndexMap<TeamId, PeerTotals, BuildHasherDefault<FastHasher>>,
+    updated_at: Option<Instant>,
 }
 
-impl Others {
+impl PeerBudgets {
     /// Returns whether it is time to gather what they say.
     fn is_due(&self, now: Instant) -> bool {
         let peers = u32::try_from(self.peers.len() / PEERS_PER_INTERVAL).unwrap_or(u32::MAX);
         let interval = REFRESH_INTERVAL
             .saturating_mul(peers)
             .clamp(REFRESH_INTERVAL, MAX_REFRESH_INTERVAL);
-        self.heard.is_none_or(|at| now >= at + interval)
+        self.updated_at.is_none_or(|at| now >= at + interval)
     }
 
     /// Takes in what they say.
-    fn hear(&mut self, now: Instant, routers: &[BudgetWords]) {
-        self.heard = Some(now);
-        self.peers = routers.iter().map(|router| router.peer.clone()).collect();
+    fn update(&mut self, now: Instant, reports: &[BudgetReport]) {
+        self.updated_at = Some(now);
+        self.peers = reports.iter().map(|report| report.peer.clone()).collect();
         self.teams.clear();
-        for BudgetWords { peer, words } in routers {
-            for word in words {
+        for BudgetReport { peer, budgets } in reports {
+            for budget in budgets {
                 self.teams
-                    .entry(word.team.clone())
+                    .entry(budget.team.clone())
                     .or_default()
-                    .add(peer, word);
+                    .add(peer, budget);
             }
         }
     }
 
     /// Returns how many of them there are.
-    pub(super) fn routers(&self) -> usize {
+    pub(super) fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
@@ -110,51 +110,51 @@
     }
 
     /// Returns who said something of a budget.
-    pub(super) fn lenders(&self, team: &TeamId) -> &[Lender] {
-        self.teams.get(team).map_or(&[], |team| &team.lenders)
+    pub(super) fn lenders(&self, team: &TeamId) -> &[PeerBudget] {
+        self.teams.get(team).map_or(&[], |team| &team.budgets)
     }
 
     /// Returns who may take a budget over: those that said something of it, or else all.
-    pub(super) fn heirs(&self, team: &TeamId) -> Vec<Lender> {
+    pub(super) fn recipients(&self, team: &TeamId) -> Vec<PeerBudget> {
         let lenders = self.lenders(team);
         if !lenders.is_empty() {
             return lenders.to_vec();
         }
-        let strangers = self.peers.iter().map(|peer| Lender {
+        let idle_peers = self.peers.iter().map(|peer| PeerBudget {
             peer: peer.clone(),
             free: Tokens::ZERO,
             demand: 0,
         });
-        strangers.collect()
+        idle_peers.collect()
     }
 }
 
-impl Elsewhere {
-    fn add(&mut self, peer: &Peer, word: &PurseWord) {
-        self.free += word.free;
-        self.demand += word.demand as f64;
-        self.lenders.push(Lender {
+impl PeerTotals {
+    fn add(&mut self, peer: &Peer, budget: &PurseWord) {
+        self.free += budget.free;
+        self.demand += budget.demand as f64;
+        self.budgets.push(PeerBudget {
             peer: peer.clone(),
-            free: word.free,
-            demand: word.demand,
+            free: budget.free,
+            demand: budget.demand,
         });
     }
 }
 
 impl Funds {
     /// Returns whether it is time to gather what other routers say of their budgets.
-    pub(crate) fn listens(&self, now: Instant) -> bool {
+    pub(crate) fn is_refresh_due(&self, now: Instant) -> bool {
         self.others.is_due(now)
     }
 
     /// Has what other routers say be gathered at once: one of them is new, and may be the only one to borrow from.
-    pub(crate) fn listen(&mut self) {
-        self.others.heard = None;
+    pub(crate) fn request_refresh(&mut self) {
+        self.others.updated_at = None;
     }
 
     /// Takes in what other routers say of their budgets.
-    pub(crate) fn hear(&mut self, now: Instant, routers: &[BudgetWords]) {
-        self.others.hear(now, routers);
+    pub(crate) fn update_peer_budgets(&mut self, now: Instant, reports: &[BudgetReport]) {
+        self.others.update(now, reports);
     }
 
     /// Returns what is left of a team's budget in this router's reach, and for how long it must last.
@@ -167,8 +167,8 @@
         Remainder {
             left,
             demand: self.team_demand(now, team),
-            lasts: match self.cut_left(now) {
-                Some(left) => left,
+            lasts: match self.outage_left(now) {
+                Some(duration) => duration,
                 None if self.is_mostly_lost(team, left) => RATION_PERIOD,
                 None => Duration::ZERO,
             },
@@ -193,9 +193,9 @@
     }
 
     /// Returns how much longer the log may be out of reach, if it is.
-    pub(super) fn cut_left(&self, now: Instant) -> Option<Duration> {
-        let passed = now.saturating_duration_since(self.away?);
-        Some(COVER.saturating_sub(passed).max(MIN_OUTAGE_LEFT))
+    pub(super) fn outage_left(&self, now: Instant) -> Option<Duration> {
+        let elapsed = now.saturating_duration_since(self.away?);
+        Some(COVER.saturating_sub(elapsed).max(MIN_OUTAGE_LEFT))
     }
 
     /// Returns whether more of a team's budget is out of reach than in it: dead routers may have spent it, and nobody can tell.
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -91,7 +91,7 @@
     /// Returns how many routers write grants.
     fn writers(&self) -> usize {
         match self.ownership.is_owned_by_all() {
-            true => self.others.routers() + 1,
+            true => self.others.peer_count() + 1,
             false => OWNERS,
         }
     }
@@ -100,7 +100,7 @@
     fn sharers(&self, team: &TeamId) -> usize {
         match self.ownership.owns_for_all(team) {
             true => TEAM_OWNERS,
-            false => self.others.routers() + 1,
+            false => self.others.peer_count() + 1,
         }
     }
 
