--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -185,7 +185,7 @@
             since: now,
             closing: false,
         };
-        self.funds.fade();
+        self.funds.wind_down();
         let peers = self.members.roster.peers().to_vec();
         self.effects.push(Effect::Beat(self.heartbeat(now), peers));
     }
--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -28,7 +28,7 @@
 use crate::router::fleet_clock::FleetClock;
 use crate::router::ownership::Ownership;
 use crate::router::rationing::PeerBudgets;
-use crate::router::review::Stay;
+use crate::router::review::StopPhase;
 use crate::tokens::Tokens;
 
 /// How much demand a grant covers: the longest time that all routers were seen parted from the log at once (9 s), and a
@@ -95,7 +95,7 @@
     pub(super) fresh: Option<Instant>,
     /// When grants were last brought to what the policy wants.
     pub(super) reviewed: Option<Instant>,
-    pub(super) stay: Stay,
+    pub(super) stay: StopPhase,
     pub(super) clock: FleetClock,
     /// Who keeps budgets for others.
     pub(super) ownership: Ownership,
@@ -126,7 +126,7 @@
             rest: now,
             fresh: None,
             reviewed: None,
-            stay: Stay::Staying,
+            stay: StopPhase::Running,
             clock: FleetClock::new(clock),
             ownership: Ownership::default(),
             gave_back: None,
@@ -256,7 +256,7 @@
     pub(crate) fn is_due(&self, now: Instant) -> bool {
         let waits = self.allowances.values().any(|a| !a.waiting.is_empty());
         let reviews = self.is_review_due(now);
-        let leaves = self.stay == Stay::Leaving;
+        let leaves = self.stay == StopPhase::Releasing;
         let unsettled = self.behind || leaves || self.book.pending().is_some() || !self.known();
         waits || !self.low.is_empty() || !self.busy && now >= self.rest && (reviews || unsettled)
     }
@@ -282,7 +282,7 @@
             return Some(Effect::ProposeGrants(pending.clone()));
         }
         // What is given up to a log that does not answer could not be handed over.
-        let leaves = self.stay == Stay::Leaving;
+        let leaves = self.stay == StopPhase::Releasing;
         if leaves && self.failures > 0 {
             return None;
         }
@@ -299,7 +299,7 @@
         if !waiting && !due {
             return None;
         }
-        let changes = self.changes(now, due);
+        let changes = self.grant_changes(now, due);
         // Only a review puts the next one off. Put off by each call for a request that waits, none would come while one team's
         // callers wait, and the other teams' promises would grow old.
         if due {
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -173,7 +173,7 @@
         };
         let request = &self.requests[&id];
         let (team, amount) = (&request.team, request.reserve);
-        self.funds.explain(now, team, id, why);
+        self.funds.log_refusal(now, team, id, why);
         let usual = match self.funds.is_in_reach(team, amount) && why != Unfunded::Kept {
             true => HELD_RETRY,
             false => LOST_RETRY,
@@ -249,8 +249,8 @@
                 since,
                 closing: true,
             };
-            self.funds.leave();
-        } else if self.requests.is_empty() && self.funds.left_all() {
+            self.funds.release_idle();
+        } else if self.requests.is_empty() && self.funds.has_released_all() {
             self.effects.push(Effect::Exit { cut: false });
         }
     }
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -14,7 +14,7 @@
 use crate::router::event::PurseWord;
 use crate::router::funds::Funds;
 use crate::router::loans::LoanNeed;
-use crate::router::review::Stay;
+use crate::router::review::StopPhase;
 use crate::tokens::Tokens;
 
 /// How long the log goes before other routers, where what a request needs is undrawn.
@@ -81,7 +81,7 @@
     ///
     /// A planned stop in a cut from the log would else take ten seconds' worth of each team's budget with it.
     pub(crate) fn transfer_idle(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
-        if self.stay != Stay::Leaving {
+        if self.stay != StopPhase::Releasing {
             return Vec::new();
         }
         // What was borrowed can't go back to the log.
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -37,40 +37,40 @@
 
 /// Whether a router goes on, as far as its budgets are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stay {
+pub(super) enum StopPhase {
     /// It does.
-    Staying,
+    Running,
     /// It was told to stop: callers still come, fewer and fewer, and what they don't need goes back.
-    Fading,
+    WindingDown,
     /// All that no request in progress needs goes back.
-    Leaving,
+    Releasing,
 }
 
 impl Funds {
     /// Begins to give back what callers that still come won't need.
-    pub(crate) fn fade(&mut self) {
-        self.stay = Stay::Fading;
+    pub(crate) fn wind_down(&mut self) {
+        self.stay = StopPhase::WindingDown;
         self.reviewed = None;
     }
 
     /// Begins to give back what no request in progress needs.
-    pub(crate) fn leave(&mut self) {
-        self.stay = Stay::Leaving;
+    pub(crate) fn release_idle(&mut self) {
+        self.stay = StopPhase::Releasing;
         self.reviewed = None;
     }
 
     /// Returns whether all that is not in use was given back.
-    pub(crate) fn left_all(&self) -> bool {
+    pub(crate) fn has_released_all(&self) -> bool {
         let teams = self.allowances.keys();
         let mut idle = teams.map(|team| self.held(team).min(self.book.granted(team)));
-        let giving = self.allowances.values().any(|a| a.loans.has_unconfirmed());
+        let transferring = self.allowances.values().any(|a| a.loans.has_unconfirmed());
         let settled = self.book.pending().is_none() || self.failures > 0;
-        settled && !giving && idle.all(|idle| idle == Tokens::ZERO)
+        settled && !transferring && idle.all(|idle| idle == Tokens::ZERO)
     }
 
     /// Returns whether grants are to be looked over.
     pub(super) fn is_review_due(&self, now: Instant) -> bool {
-        let writers = u32::try_from(self.writers()).unwrap_or(u32::MAX);
+        let writers = u32::try_from(self.writer_count()).unwrap_or(u32::MAX);
         let interval = FLEET_REVIEW_INTERVAL
             .saturating_mul(writers)
             .max(REVIEW_INTERVAL);
@@ -79,17 +79,17 @@
 
     /// Returns whether the log has no writes to spare for rests. Where few routers write it has, and who waits elsewhere has
     /// them sooner.
-    fn spares_log(&self) -> bool {
+    fn limits_log_writes(&self) -> bool {
         !self.ownership.is_owned_by_all()
     }
 
     /// Returns whether others may wait for what lies idle here of a team's budget.
-    fn is_missed_elsewhere(&self, team: &TeamId) -> bool {
-        !self.spares_log() && self.others.demand(team) > 0.0
+    fn is_needed_elsewhere(&self, team: &TeamId) -> bool {
+        !self.limits_log_writes() && self.others.demand(team) > 0.0
     }
 
     /// Returns how many routers write grants.
-    fn writers(&self) -> usize {
+    fn writer_count(&self) -> usize {
         match self.ownership.is_owned_by_all() {
             true => self.others.peer_count() + 1,
             false => OWNERS,
@@ -97,7 +97,7 @@
     }
 
     /// Returns how many routers share a team's budget.
-    fn sharers(&self, team: &TeamId) -> usize {
+    fn sharer_count(&self, team: &TeamId) -> usize {
         match self.ownership.owns_for_all(team) {
             true => TEAM_OWNERS,
             false => self.others.peer_count() + 1,
@@ -106,21 +106,21 @@
 
     /// Returns the grants that the policy wants changed, and those whose promise is to be written anew: all that changed at a
     /// review, and those that keep a request waiting.
-    pub(super) fn changes(&self, now: Instant, due: bool) -> Vec<Change> {
+    pub(super) fn grant_changes(&self, now: Instant, due: bool) -> Vec<Change> {
         if !self.ownership.knows_routers() {
             return Vec::new();
         }
         let made = self.clock.at(now);
         let changes = self.allowances.iter().filter_map(|(team, allowance)| {
             let old = self.book.granted(team);
-            let granted = self.wanted_grant(now, team, allowance);
+            let granted = self.target_grant(now, team, allowance);
             // Were rests given back at each call for another team's request, the one partition would take little else.
-            let is_rest = granted < old && allowance.waiting.is_empty();
-            if is_rest && !due && !self.is_missed_elsewhere(team) {
+            let is_surplus = granted < old && allowance.waiting.is_empty();
+            if is_surplus && !due && !self.is_needed_elsewhere(team) {
                 return None;
             }
             let opening = self.opening(now, team, allowance, granted);
-            let promise = Pace {
+            let pace = Pace {
                 made: made.own,
                 used: allowance.in_use(),
                 room: allowance.wanted().saturating_add(opening.room),
@@ -128,13 +128,13 @@
                 fleet: made.fleet,
             };
             let renewed = match due {
-                true => self.is_outdated(now, team, allowance, &promise),
+                true => self.is_outdated(now, team, allowance, &pace),
                 false => allowance.wanted() > self.available(now, team),
             };
             let row = GrantRow {
                 granted,
-                spent: self.told_spent(allowance),
-                pace: Some(promise),
+                spent: self.reported_spent(allowance),
+                pace: Some(pace),
             };
             let covered = allowance.wanted() <= self.held(team);
             let change = granted != old || renewed && (due || covered);
@@ -148,7 +148,7 @@
 
     /// Returns how much of a grant others are told is spent. What an owner lends is spent by routers that write nothing
     /// themselves; where all keep, who borrows says so itself.
-    fn told_spent(&self, allowance: &Allowance) -> Tokens {
+    fn reported_spent(&self, allowance: &Allowance) -> Tokens {
         match self.ownership.is_owned_by_all() {
             true => allowance.spent,
             false => allowance.gone(),
@@ -156,21 +156,21 @@
     }
 
     /// Returns what a grant should be.
-    fn wanted_grant(&self, now: Instant, team: &TeamId, allowance: &Allowance) -> Tokens {
+    fn target_grant(&self, now: Instant, team: &TeamId, allowance: &Allowance) -> Tokens {
         let granted = self.book.granted(team);
         let free = self.held(team);
         if self.is_owned_elsewhere(now, team) {
             return granted - free.min(granted);
         }
-        if self.stay != Stay::Staying && allowance.waiting.is_empty() {
-            let kept = self.kept_by_leaver(now, allowance);
+        if self.stay != StopPhase::Running && allowance.waiting.is_empty() {
+            let kept = self.kept_on_stop(now, allowance);
             return granted - free.saturating_sub(kept).min(granted);
         }
         let share = Share {
             free,
             claimed: allowance.reserved,
             undrawn: self.book.undrawn(team, allowance.prepaid),
-            routers: self.sharers(team),
+            routers: self.sharer_count(team),
             demand: allowance.rate(now),
             team: allowance.rate(now) + self.others.demand(team),
             wanted: allowance.wanted(),
@@ -178,8 +178,8 @@
         };
         match self.policy.decide(&share) {
             Action::Draw(amount) if !allowance.is_trifle(amount) => granted + amount,
-            Action::Return(_) if allowance.waiting.is_empty() && self.spares_log() => {
-                granted - self.given_back(allowance, share).min(granted)
+            Action::Return(_) if allowance.waiting.is_empty() && self.limits_log_writes() => {
+                granted - self.amount_to_return(allowance, share).min(granted)
             }
             Action::Return(amount) if !allowance.is_trifle(amount) => {
                 granted - amount.min(free).min(granted)
@@ -190,8 +190,8 @@
 
     /// Returns all that the policy gives back, step after step, of a budget for which nobody waits here: one write for
     /// all steps that are not followed by a draw.
-    fn given_back(&self, allowance: &Allowance, mut share: Share) -> Tokens {
-        let mut given = Tokens::ZERO;
+    fn amount_to_return(&self, allowance: &Allowance, mut share: Share) -> Tokens {
+        let mut returned = Tokens::ZERO;
         while let Action::Return(amount) = self.policy.decide(&share) {
             let amount = amount.min(share.free);
             if allowance.is_trifle(amount) {
@@ -205,17 +205,19 @@
             if let Action::Draw(_) = self.policy.decide(&next) {
                 break;
             }
-            given += amount;
+            returned += amount;
             share = next;
         }
-        given
+        returned
     }
 
     /// Returns what a router that stops holds on to, beyond what is in use.
-    fn kept_by_leaver(&self, now: Instant, allowance: &Allowance) -> Tokens {
+    fn kept_on_stop(&self, now: Instant, allowance: &Allowance) -> Tokens {
         match self.stay {
-            Stay::Fading => Tokens((allowance.rate(now) * WIND_DOWN_COVER.as_secs_f64()) as u64),
-            Stay::Staying | Stay::Leaving => Tokens::ZERO,
+            StopPhase::WindingDown => {
+                Tokens((allowance.rate(now) * WIND_DOWN_COVER.as_secs_f64()) as u64)
+            }
+            StopPhase::Running | StopPhase::Releasing => Tokens::ZERO,
         }
     }
 
@@ -246,8 +248,7 @@
         let rate_changed = rate > old.rate.0 as f64 * MIN_RATE_CHANGE;
         let open = self.book.open(team, &self.clock.own(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
-        let outgrown =
-            opened > new.rate.over(MAX_OPENING_TIME) && allowance.is_worth_writing(opened);
-        row.granted > new.used.min(old.used) && (old.used != new.used || rate_changed || outgrown)
+        let stale = opened > new.rate.over(MAX_OPENING_TIME) && allowance.is_worth_writing(opened);
+        row.granted > new.used.min(old.used) && (old.used != new.used || rate_changed || stale)
     }
 }
--- a/src/router/statement.rs
+++ b/src/router/statement.rs
@@ -13,7 +13,13 @@
 
 impl Funds {
     /// Logs a refusal and what is known of the budget, its grounds.
-    pub(crate) fn explain(&self, now: Instant, team: &TeamId, request: RequestId, why: Unfunded) {
+    pub(crate) fn log_refusal(
+        &self,
+        now: Instant,
+        team: &TeamId,
+        request: RequestId,
+        why: Unfunded,
+    ) {
         info!(event = "unfunded", %request, ?why, failures = self.failures);
         let Some(allowance) = self.allowances.get(team) else {
             return;
@@ -25,7 +31,7 @@
             spent_elsewhere = %self.book.others_spent(team),
             undrawn = %self.book.undrawn(team, allowance.prepaid), in_reach = %rest.left,
             demand = rest.demand as u64, lasts_ms = rest.lasts.as_millis() as u64,
-            age_ms = self.word_age(now),
+            age_ms = self.log_answer_age(now),
         );
     }
 
@@ -48,14 +54,14 @@
         });
         json!({
             "teams": allowances.collect::<Vec<_>>(),
-            "log_word_age_ms": self.word_age(now),
+            "log_word_age_ms": self.log_answer_age(now),
             "log_failures": self.failures,
             "pending": self.book.pending().is_some(),
         })
     }
 
     /// Returns how old the log's last word is, in milliseconds.
-    fn word_age(&self, now: Instant) -> Option<u64> {
+    fn log_answer_age(&self, now: Instant) -> Option<u64> {
         let age = now.saturating_duration_since(self.fresh?);
         Some(u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
     }
