--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -26,9 +26,9 @@
 use crate::router::event::GrantEvent;
 use crate::router::event::Heartbeat;
 use crate::router::fleet_clock::FleetClock;
+use crate::router::grant_review::StopPhase;
 use crate::router::ownership::Ownership;
-use crate::router::rationing::PeerBudgets;
-use crate::router::review::StopPhase;
+use crate::router::peer_budgets::PeerBudgets;
 use crate::tokens::Tokens;
 
 /// How much demand a grant covers: the longest time that all routers were seen parted from the log at once (9 s), and a
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -13,8 +13,8 @@
 use crate::router::event::LoanAsk;
 use crate::router::event::PurseWord;
 use crate::router::funds::Funds;
+use crate::router::grant_review::StopPhase;
 use crate::router::loans::LoanNeed;
-use crate::router::review::StopPhase;
 use crate::tokens::Tokens;
 
 /// How long the log goes before other routers, where what a request needs is undrawn.
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -21,7 +21,7 @@
 use crate::router::event::Heartbeat;
 use crate::router::event::KeptBatches;
 use crate::router::event::Silence;
-use crate::router::rationing::BudgetReport;
+use crate::router::peer_budgets::BudgetReport;
 use crate::router::roster::Roster;
 use crate::vms::VmList;
 use crate::vms::VmState;
