--- a/src/router/budget_status.rs
+++ b/src/router/budget_status.rs
@@ -1,4 +1,4 @@
-//! What a router says of its budgets: in the state dump, and in the log where it refuses a request for lack of one.
+//! Reports of a router's budgets: in the state dump, and in log lines about requests refused for lack of budget.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use crate::router::waiting::Unfunded;
 
 impl Funds {
-    /// Logs a refusal and what is known of the budget, its grounds.
+    /// Logs that a request was refused for lack of budget, and the state of the budget that led to it.
     pub(crate) fn log_refusal(
         &self,
         now: Instant,
@@ -35,7 +35,7 @@
         );
     }
 
-    /// Returns the budgets, for the state dump.
+    /// Returns the budgets for the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Value {
         let allowances = self.allowances.iter().map(|(team, allowance)| {
             json!({
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Returns how old the log's last word is, in milliseconds.
+    /// Returns the time since the log's last answer, in milliseconds.
     fn log_answer_age(&self, now: Instant) -> Option<u64> {
         let age = now.saturating_duration_since(self.fresh?);
         Some(u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -1,4 +1,4 @@
-//! Reviews: what each grant of this router should be, and what it promises.
+//! Periodic reviews that adjust this router's grants and renew their paces.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,48 +18,51 @@
 use crate::router::funds::Funds;
 use crate::tokens::Tokens;
 
-/// A promise is written anew at a review where the rate that it should allow has changed by more than this part.
+/// A review renews a pace if the required rate has changed by more than this fraction.
 const MIN_RATE_CHANGE: f64 = 0.25;
 
-/// For how long a promise may have opened before it is written anew, though nothing was used.
+/// A pace is also renewed once it has opened unused budget for this long.
 const MAX_OPENING_TIME: Duration = Duration::from_millis(500);
 
-/// How much demand a router that is told to stop still holds: what its last callers ask for until they are told of others.
+/// How much demand a stopping router keeps covered: that of its last callers until they learn of other routers.
 const WIND_DOWN_COVER: Duration = Duration::from_secs(2);
 
-/// How often grants are brought to what the policy wants and promises are written anew, though no request waits. What a
-/// router may use between two promises is stranded where it dies; a call costs as much as a hundredth of a request's worth.
+/// How often grants are adjusted to the policy and paces are renewed if no request waits. Budget that a pace opens
+/// between two renewals is stranded if the router crashes; a call to the log costs as much as a hundredth of a request
+/// is worth.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How often all routers together do so at most: each of a larger fleet does so less often. All write to one partition, each
-/// on the condition that no other did meanwhile, and who fails reads and writes again.
+/// The shortest interval between reviews of all routers taken together; the routers of a larger fleet each review less
+/// often. All of them append to one partition on the condition that nobody else has appended in the meantime. A router
+/// whose append fails this condition has to read and write again.
 const FLEET_REVIEW_INTERVAL: Duration = Duration::from_millis(33);
 
-/// Whether a router goes on, as far as its budgets are concerned.
+/// Whether a router is stopping, as far as its budgets are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopPhase {
-    /// It does.
+    /// The router is not stopping.
     Running,
-    /// It was told to stop: callers still come, fewer and fewer, and what they don't need goes back.
+    /// The router was told to stop. A declining number of callers still arrives, and budget that they do not need is
+    /// returned.
     WindingDown,
-    /// All that no request in progress needs goes back.
+    /// All budget that no request in progress needs is returned.
     Releasing,
 }
 
 impl Funds {
-    /// Begins to give back what callers that still come won't need.
+    /// Starts returning budget that the remaining callers will not need.
     pub(crate) fn wind_down(&mut self) {
         self.stay = StopPhase::WindingDown;
         self.reviewed = None;
     }
 
-    /// Begins to give back what no request in progress needs.
+    /// Starts returning budget that no request in progress needs.
     pub(crate) fn release_idle(&mut self) {
         self.stay = StopPhase::Releasing;
         self.reviewed = None;
     }
 
-    /// Returns whether all that is not in use was given back.
+    /// Returns whether all budget that is not in use has been returned or transferred.
     pub(crate) fn has_released_all(&self) -> bool {
         let teams = self.allowances.keys();
         let mut idle = teams.map(|team| self.held(team).min(self.book.granted(team)));
@@ -68,7 +71,7 @@
         settled && !transferring && idle.all(|idle| idle == Tokens::ZERO)
     }
 
-    /// Returns whether grants are to be looked over.
+    /// Returns whether the grants are due for a review.
     pub(super) fn is_review_due(&self, now: Instant) -> bool {
         let writers = u32::try_from(self.writer_count()).unwrap_or(u32::MAX);
         let interval = FLEET_REVIEW_INTERVAL
@@ -77,18 +80,17 @@
         self.reviewed.is_none_or(|at| now >= at + interval)
     }
 
-    /// Returns whether the log has no writes to spare for rests. Where few routers write it has, and who waits elsewhere has
-    /// them sooner.
+    /// Returns whether writes to the log are limited, so that unused budget is returned in as few of them as possible.
+    /// With few routers there is no such limit, and requests that wait elsewhere get the budget sooner.
     fn limits_log_writes(&self) -> bool {
         !self.ownership.is_owned_by_all()
     }
 
-    /// Returns whether others may wait for what lies idle here of a team's budget.
+    /// Returns whether requests at other routers may wait for a team's budget that is idle here.
     fn is_needed_elsewhere(&self, team: &TeamId) -> bool {
         !self.limits_log_writes() && self.others.demand(team) > 0.0
     }
 
-    /// Returns how many routers write grants.
     fn writer_count(&self) -> usize {
         match self.ownership.is_owned_by_all() {
             true => self.others.peer_count() + 1,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Returns how many routers share a team's budget.
+    /// Returns the number of routers that share a team's budget.
     fn sharer_count(&self, team: &TeamId) -> usize {
         match self.ownership.owns_for_all(team) {
             true => TEAM_OWNERS,
@@ -104,8 +106,8 @@
         }
     }
 
-    /// Returns the grants that the policy wants changed, and those whose promise is to be written anew: all that changed at a
-    /// review, and those that keep a request waiting.
+    /// Returns the grants to be changed or whose pace is to be renewed: at a review all that differ from the policy,
+    /// otherwise those that keep a request waiting.
     pub(super) fn grant_changes(&self, now: Instant, due: bool) -> Vec<Change> {
         if !self.ownership.knows_routers() {
             return Vec::new();
@@ -114,7 +116,8 @@
         let changes = self.allowances.iter().filter_map(|(team, allowance)| {
             let old = self.book.granted(team);
             let granted = self.target_grant(now, team, allowance);
-            // Were rests given back at each call for another team's request, the one partition would take little else.
+            // Returning unused budget along with every call made for another team's request would take up most of the
+            // partition's throughput.
             let is_surplus = granted < old && allowance.waiting.is_empty();
             if is_surplus && !due && !self.is_needed_elsewhere(team) {
                 return None;
@@ -146,8 +149,8 @@
         changes.collect()
     }
 
-    /// Returns how much of a grant others are told is spent. What an owner lends is spent by routers that write nothing
-    /// themselves; where all keep, who borrows says so itself.
+    /// Returns how much of a grant is reported to other routers as spent. What an owner lends is spent by routers that
+    /// write no grants themselves. If every router owns every budget, each borrower reports its own spending.
     fn reported_spent(&self, allowance: &Allowance) -> Tokens {
         match self.ownership.is_owned_by_all() {
             true => allowance.spent,
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Returns what a grant should be.
+    /// Returns what a grant should be according to the policy.
     fn target_grant(&self, now: Instant, team: &TeamId, allowance: &Allowance) -> Tokens {
         let granted = self.book.granted(team);
         let free = self.held(team);
@@ -188,8 +191,8 @@
         }
     }
 
-    /// Returns all that the policy gives back, step after step, of a budget for which nobody waits here: one write for
-    /// all steps that are not followed by a draw.
+    /// Returns the total of the policy's successive returns for a budget without waiting requests here. It combines all
+    /// steps that no draw would follow into one write.
     fn amount_to_return(&self, allowance: &Allowance, mut share: Share) -> Tokens {
         let mut returned = Tokens::ZERO;
         while let Action::Return(amount) = self.policy.decide(&share) {
@@ -211,7 +214,7 @@
         returned
     }
 
-    /// Returns what a router that stops holds on to, beyond what is in use.
+    /// Returns what a stopping router keeps beyond what is in use.
     fn kept_on_stop(&self, now: Instant, allowance: &Allowance) -> Tokens {
         match self.stay {
             StopPhase::WindingDown => {
@@ -235,10 +238,10 @@
         decide::opening(flow, held, COVER)
     }
 
-    /// Returns whether the promise that stands is no longer what it should be.
+    /// Returns whether the pace on record no longer fits.
     ///
-    /// One of a budget that nobody asks for opens all the same. Never written anew, it would strand all that had opened since
-    /// if the router died.
+    /// The pace of a budget without demand opens all the same. If it were never renewed, a crash of the router would
+    /// strand everything opened since.
     fn is_outdated(&self, now: Instant, team: &TeamId, allowance: &Allowance, new: &Pace) -> bool {
         let row = self.book.row(team);
         let Some(old) = row.pace else {
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -1,4 +1,4 @@
-//! Budget that moves between routers where the log can't be asked: loans, and what a router hands over that stops.
+//! Budget that moves between routers while the log is unreachable: loans, and transfers from routers that stop.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,18 +17,18 @@
 use crate::router::loans::LoanNeed;
 use crate::tokens::Tokens;
 
-/// How long the log goes before other routers, where what a request needs is undrawn.
+/// How long a request waits for the log before loans are requested, if enough of the budget is undrawn.
 const LOAN_DELAY: Duration = Duration::from_millis(60);
 
-/// How much demand is borrowed ahead, so that not each request asks anew: a question costs a millisecond, and what is
-/// borrowed can't be given back.
+/// How much demand a loan covers beyond the waiting requests, so that not every request needs a loan of its own: a loan
+/// request costs a millisecond, and borrowed budget cannot be returned.
 const LOAN_COVER: Duration = Duration::from_secs(2);
 
-/// How much of its own demand a lender keeps.
+/// How much of its own demand a router keeps covered when it lends or returns budget.
 pub(super) const OWN_COVER: Duration = Duration::from_secs(1);
 
 impl Funds {
-    /// Asks other routers for what can't be had from the log now.
+    /// Requests loans from other routers for what the log cannot provide now.
     pub(crate) fn borrow(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         let mut effects = self.borrow_ahead(now, me);
         for team in self.waiting_teams() {
@@ -47,7 +47,7 @@
                 .waiting
                 .front()
                 .map_or(now, |waiting| waiting.since);
-            // The log gives what is undrawn within some milliseconds, where it answers at all.
+            // If the log answers at all, it grants undrawn budget within some milliseconds.
             if log_may_help && now < first + LOAN_DELAY {
                 continue;
             }
@@ -67,7 +67,7 @@
         effects
     }
 
-    /// Asks once more for the loans that brought no answer.
+    /// Retries loan requests that brought no answer.
     pub(crate) fn retry_loans(&mut self, now: Instant) -> Vec<Effect> {
         let ownership = &self.ownership;
         let is_responsive = |peer: &Peer| !ownership.is_unresponsive(now, &peer.vm);
@@ -77,14 +77,15 @@
             .collect()
     }
 
-    /// Hands over to other routers what is idle here, where the log can't take it back.
+    /// Transfers idle budget to other routers if it cannot be returned to the log.
     ///
-    /// A planned stop in a cut from the log would else take ten seconds' worth of each team's budget with it.
+    /// Otherwise a planned stop during an outage of the log would take ten seconds' worth of each team's budget out of
+    /// use.
     pub(crate) fn transfer_idle(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         if self.stay != StopPhase::Releasing {
             return Vec::new();
         }
-        // What was borrowed can't go back to the log.
+        // Borrowed budget cannot be returned to the log.
         let log_failing = self.failures > 0;
         let teams = self.allowances.keys();
         let teams = teams.filter(|team| log_failing || !self.ownership.owners(team).is_empty());
@@ -101,7 +102,7 @@
         effects
     }
 
-    /// Takes in what another router hands over.
+    /// Adds what another router transferred.
     pub(crate) fn receive_transfer(&mut self, gift: &Gift) {
         info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
         if let Some(allowance) = self.allowances.get_mut(&gift.team) {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Notes that another router has what was handed over to it, or that nobody knows.
+    /// Notes that another router confirmed a transfer, or that its outcome is unknown.
     pub(crate) fn finish_transfer(&mut self, gift: &Gift, taken: bool) {
         info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
         if let Some(allowance) = self.allowances.get_mut(&gift.team) {
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Lends another router what it asks for; nothing is returned where the answer is to wait for more from the log. The same
-    /// question gets the same answer.
+    /// Answers another router's loan request. Returns `None` if the answer waits for more budget from the log. A
+    /// repeated request gets the same answer.
     pub(crate) fn lend(&mut self, now: Instant, id: AdminId, ask: &LoanAsk) -> Option<Tokens> {
         match self.ownership.owns_for_all(&ask.team) {
             true => self.lend_owned(now, id, ask),
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Lends what is idle here of a budget that each router keeps for itself.
+    /// Lends idle budget of a team whose budget every router keeps for itself.
     fn lend_idle(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
         let free = self.available(now, &ask.team);
         let Some(allowance) = self.allowances.get_mut(&ask.team) else {
@@ -141,7 +142,7 @@
         allowance.loans.lend(ask, spare)
     }
 
-    /// Takes in what another router lent, or that it did not answer.
+    /// Records the answer of another router to a loan request, or that none came.
     pub(crate) fn record_loan_answer(
         &mut self,
         now: Instant,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Returns what others should know of this router's budgets: what lies idle here, and how fast it is asked for.
+    /// Returns what this router reports of its budgets to other routers: idle tokens and demand.
     pub(crate) fn budget_report(&self, now: Instant) -> Vec<PurseWord> {
         let owned = self.allowances.iter();
         let owned = owned.filter(|(team, _)| self.ownership.owners(team).is_empty());
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -1,9 +1,10 @@
 //! Loans of budget between routers.
 //!
-//! Answers a cut of all routers from the log, in which they still reach each other: a team's callers keep to one router,
-//! whose grant runs out while the others' lie idle. A loan moves tokens from one grant to another router without the log.
-//! Lender and borrower count it once by its number: an answer that is lost is asked for again under the same number, and
-//! what the borrower never hears of is lost to both, never spent twice.
+//! They cover an outage of the log that cuts off all routers while these still reach each other: a team's callers stay
+//! with one router, whose grant runs out while the grants of the others are idle. A loan moves tokens from one router's
+//! grant to another router without the log. Lender and borrower count each loan once, by its number. A lost answer is
+//! requested again under the same number. An amount that was lent and whose answer never reaches the borrower is lost
+//! to both; it is never spent twice.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,46 +20,48 @@
 use crate::router::event::LoanAsk;
 use crate::tokens::Tokens;
 
-/// How long a router that brought nothing is not asked again: its next heartbeat tells what it has by then.
+/// How long a router is not asked again after it lent too little or did not answer. Its next heartbeat reports what it
+/// has by then.
 const LENDER_BACKOFF: Duration = Duration::from_millis(600);
 
-/// A lender that gives less than this part of what was asked for is left alone for a while; one that gives more, though not
-/// all, may be asked for the rest.
+/// A loan smaller than the requested amount divided by this makes the borrower back off from the lender. A lender that
+/// grants more, though not everything, may be asked for the remainder at once.
 const MIN_LOAN_DIVISOR: u64 = 8;
 
-/// How many answers a lender remembers. A question is repeated within [`RETRY_WINDOW`]; at fifty questions a second that is
-/// enough.
+/// How many loan answers, and how many received transfers, a router remembers per team. A request is repeated only
+/// within [`RETRY_WINDOW`]; at fifty requests a second this capacity covers it.
 const HISTORY_CAPACITY: usize = 1024;
 
-/// How long after a question that brought no answer it is asked again: its lender is busy, or was cut off.
+/// How long an unanswered request waits before it is sent again: its lender is overloaded or was disconnected.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long after the first time it is given up: as long as routers were seen parted, and a while more.
+/// How long an unanswered request is retried: as long as routers were observed disconnected from each other, plus a
+/// margin.
 const RETRY_WINDOW: Duration = Duration::from_secs(15);
 
-/// Another router, and what it last said of one team's budget.
+/// One team's budget at another router, as last reported by it.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerBudget {
-    /// How to reach it.
+    /// The router that holds it.
     pub(crate) peer: Peer,
-    /// What lies idle there.
+    /// Budget that is idle there.
     pub(crate) free: Tokens,
-    /// How fast the budget is asked for there, in tokens a second.
+    /// Demand for the budget there, in tokens per second.
     pub(crate) demand: u64,
 }
 
-/// What a router asks others for.
+/// What a router wants to borrow.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoanNeed {
-    /// How much would help.
+    /// The amount to borrow.
     pub(crate) amount: Tokens,
-    /// All that this router's own callers have asked for so far.
+    /// Total demand of this router's own callers so far.
     pub(crate) total_requested: Tokens,
-    /// How urgent the most urgent request is that needs it, 0 being first.
+    /// Priority of the most urgent request that needs the loan; 0 is the most urgent.
     pub(crate) priority: u8,
 }
 
-/// A question on its way.
+/// A loan request that has been sent and not answered yet.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     number: u64,
@@ -66,7 +69,8 @@
     sent_at: Instant,
 }
 
-/// A question that brought no answer. It may have been answered, and what was lent then is lost to both.
+/// A loan request that failed without an answer. The lender may have granted it; until a retry brings its answer,
+/// neither side can spend that amount.
 #[derive(Clone, Debug)]
 struct UnansweredRequest {
     ask: LoanAsk,
@@ -80,38 +84,38 @@
 pub(crate) struct Loans {
     lent: Tokens,
     borrowed: Tokens,
-    /// What was answered to each question.
+    /// Answer given to each loan request, by borrower and request number.
     answers: IndexMap<(Incarnation, u64), Tokens>,
-    /// The gifts that were taken in, by their givers and numbers.
+    /// Transfers received, by sender and transfer number.
     received: IndexMap<(Incarnation, u64), Tokens>,
-    /// Gifts on their way.
+    /// Number of outgoing transfers whose outcome has not been reported yet.
     unconfirmed: u32,
-    /// The question on its way, and whom it goes to.
+    /// The loan request in flight.
     pending: Option<PendingRequest>,
-    /// How long the last one took that was answered.
+    /// Round-trip time of the last answered request.
     round_trip: Duration,
-    /// The questions that brought no answer.
+    /// Requests that failed without an answer.
     unanswered: Vec<UnansweredRequest>,
-    /// The number of the last question.
+    /// Number of the last loan request or transfer.
     number: u64,
-    /// Who brought nothing, and until when nobody asks there.
+    /// Addresses of routers that lent too little or did not answer, and the time until which they are not asked again.
     backoff_until: IndexMap<String, Instant>,
-    /// When nobody was left to ask.
+    /// When no router was left to borrow from.
     no_lender_at: Option<Instant>,
 }
 
 impl Loans {
-    /// Returns all that was lent.
+    /// Returns the total lent to other routers.
     pub(crate) fn lent(&self) -> Tokens {
         self.lent
     }
 
-    /// Returns all that was borrowed.
+    /// Returns the total borrowed from other routers.
     pub(crate) fn borrowed(&self) -> Tokens {
         self.borrowed
     }
 
-    /// Returns whether a loan is on its way, or somebody is left to ask.
+    /// Returns whether a loan request is in flight or another router may be asked.
     pub(crate) fn can_borrow(&self, now: Instant) -> bool {
         self.pending.is_some()
             || self
@@ -119,7 +123,7 @@
                 .is_none_or(|at| now >= at + LENDER_BACKOFF)
     }
 
-    /// Asks the router that has most, if none is asked already.
+    /// Requests a loan from the router with the most idle budget, unless a request is in flight.
     pub(crate) fn request_from_peer(
         &mut self,
         now: Instant,
@@ -143,7 +147,7 @@
         Some(self.send_request(now, me, team, need, peer))
     }
 
-    /// Asks one of those that keep the budget, in turn, if none is asked already and some may have it.
+    /// Requests a loan from the team's owners in turn, unless a request is in flight or all of them are in backoff.
     pub(crate) fn request_from_owner(
         &mut self,
         now: Instant,
@@ -159,7 +163,7 @@
         Some(self.send_request(now, me, team, need, peer))
     }
 
-    /// Returns whether a question to one of those that keep the budget is on its way, or can be asked.
+    /// Returns whether a request to one of the owners is in flight or can be sent.
     pub(crate) fn can_request_from_owner(&self, now: Instant, owners: &[Peer]) -> bool {
         self.pending
             .as_ref()
@@ -167,7 +171,7 @@
             || owners.iter().any(|peer| self.is_eligible(now, peer))
     }
 
-    /// Returns how long a question took that was answered of late.
+    /// Returns the round-trip time of the last answered request.
     pub(crate) fn round_trip(&self) -> Duration {
         self.round_trip
     }
@@ -198,12 +202,13 @@
         Effect::Borrow(ask, peer)
     }
 
-    /// Returns the answer that a question got before.
+    /// Returns the answer that was already given to a request.
     pub(crate) fn previous_answer(&self, ask: &LoanAsk) -> Option<Tokens> {
         self.answers.get(&(ask.borrower, ask.number)).copied()
     }
 
-    /// Takes in the answer to the question on its way, and returns who was asked; none came where there is no amount.
+    /// Records the answer to the request in flight and returns the router that was asked. An `amount` of `None` means
+    /// that no answer came.
     pub(crate) fn record_answer(
         &mut self,
         now: Instant,
@@ -218,7 +223,8 @@
         if amount.is_some() {
             self.round_trip = now.saturating_duration_since(sent_at);
         } else {
-            // Nothing more is asked for: a lender that the question never reached would lend what nobody needs any more.
+            // Retries ask for no tokens: a lender that never received the request would lend an amount that is no
+            // longer needed.
             let ask = LoanAsk {
                 amount: Tokens::ZERO,
                 ..ask.clone()
@@ -240,7 +246,7 @@
         Some(peer)
     }
 
-    /// Takes in the answer to a question that was asked again; none came where there is no amount.
+    /// Records the answer to a retried request. An `amount` of `None` means that no answer came.
     fn record_late_answer(&mut self, ask: &LoanAsk, amount: Option<Tokens>) {
         let Some(amount) = amount else {
             return;
@@ -252,8 +258,8 @@
         }
     }
 
-    /// Asks once more, under its old number, what brought no answer, if its lender is thought to answer now. That one gives the
-    /// answer that it gave before, and what was lent is not lost.
+    /// Sends one unanswered request again under its old number, if its lender is believed to be responsive. The lender
+    /// repeats its first answer, so that an amount already lent is not lost.
     pub(crate) fn retry<F>(&mut self, now: Instant, is_responsive: F) -> Option<Effect>
     where
         F: Fn(&Peer) -> bool,
@@ -268,8 +274,8 @@
         Some(Effect::Borrow(entry.ask.clone(), entry.peer.clone()))
     }
 
-    /// Hands an amount over to the router that asks for the budget most. It counts as lent from here on, whether the other
-    /// router hears of it or not.
+    /// Transfers an amount to the router with the highest demand for the budget. It counts as lent from now on, whether
+    /// or not the other router receives the transfer.
     pub(crate) fn transfer(
         &mut self,
         me: Incarnation,
@@ -281,7 +287,7 @@
         Some(self.transfer_to(me, team, amount, recipient.peer.clone()))
     }
 
-    /// Hands an amount over to one of those that keep the budget, in turn, if one of them may be there.
+    /// Transfers an amount to the team's owners in turn, if one of them may be reached.
     pub(crate) fn transfer_to_owner(
         &mut self,
         now: Instant,
@@ -313,7 +319,7 @@
         Effect::Give(gift, peer)
     }
 
-    /// Returns the one of those that keep the budget whose turn it is, but for those that brought nothing of late.
+    /// Returns the next owner in turn, skipping those in backoff.
     fn next_owner<'a>(&self, now: Instant, owners: &'a [Peer]) -> Option<&'a Peer> {
         let start = usize::try_from(self.number).unwrap_or(0) % owners.len().max(1);
         let mut candidates = owners.iter().cycle().skip(start).take(owners.len());
@@ -326,17 +332,17 @@
             .is_none_or(|until| now >= *until)
     }
 
-    /// Returns whether gifts are on their way.
+    /// Returns whether the outcome of an outgoing transfer is still open.
     pub(crate) fn has_unconfirmed(&self) -> bool {
         self.unconfirmed > 0
     }
 
-    /// Notes that a gift arrived, or that nobody knows.
+    /// Notes that a transfer was confirmed, or that its outcome is unknown.
     pub(crate) fn finish_transfer(&mut self) {
         self.unconfirmed = self.unconfirmed.saturating_sub(1);
     }
 
-    /// Takes a gift in, once.
+    /// Adds a received transfer to the budget. A repeated transfer counts once.
     pub(crate) fn receive(&mut self, gift: &Gift) {
         let key = (gift.giver, gift.number);
         if self.received.insert(key, gift.amount).is_none() {
@@ -347,7 +353,7 @@
         }
     }
 
-    /// Answers a question out of what is to spare; one that was answered before gets the same answer.
+    /// Answers a loan request from the spare budget. A repeated request gets the same answer as before.
     pub(crate) fn lend(&mut self, ask: &LoanAsk, spare: Tokens) -> Tokens {
         if let Some(answer) = self.previous_answer(ask) {
             return answer;
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -1,4 +1,5 @@
-//! Budgets that a few routers own for a large fleet: what the others borrow of them and give back, and what owners lend.
+//! Budgets that a few routers own on behalf of a large fleet: what the other routers borrow and return, and what the
+//! owners lend.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,18 +18,19 @@
 use crate::router::loans::LoanNeed;
 use crate::tokens::Tokens;
 
-/// How often a router looks for what it may give back to those that keep budgets: seldom enough that a caller's next request
-/// may find it, often enough that little lies idle at two hundred routers.
+/// How often a router looks for budget to return to its owners. Returning it more often would take it away before a
+/// caller's next request can use it; less often would leave too much idle across two hundred routers.
 const RETURN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// For how many times as long as the last question took, a team's demand is borrowed ahead, but for no longer than it is kept.
+/// How many round trips' worth of a team's demand is borrowed ahead, but no more than the router keeps for itself.
 const ROUND_TRIPS_AHEAD: u32 = 2;
 
 /// The priority of a loan that no request waits for.
 const LEAST_URGENT: u8 = 9;
 
 impl Allowance {
-    /// Returns what callers here ask for while a loan is on its way, where it takes so long that several of them come.
+    /// Returns the expected demand of this router's callers while a loan is in flight, or zero if that is less than one
+    /// request of average size.
     fn loan_demand(&self, now: Instant) -> Tokens {
         let time = (self.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER / 2);
         let demand = self.own_rate(now) * time.as_secs_f64();
@@ -40,7 +42,7 @@
 }
 
 impl Funds {
-    /// Asks those that keep a team's budget for what its requests need.
+    /// Requests from a team's owners what its waiting requests lack.
     pub(super) fn borrow_from_owners(
         &mut self,
         now: Instant,
@@ -53,7 +55,7 @@
         }
         let left = self.left(team);
         let allowance = &mut self.allowances[team];
-        // Where answers take long, each further request would wait as long for the next one.
+        // With long round trips, each further request would otherwise wait just as long for a loan of its own.
         let ahead = (allowance.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
         let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
         let need = LoanNeed {
@@ -67,7 +69,7 @@
             .request_from_owner(now, me, team, need, &owners)
     }
 
-    /// Takes note of a team of which so little is left here that it would run out before a loan comes.
+    /// Marks a team whose remaining budget here would run out before a loan arrives.
     pub(super) fn note_low(&mut self, now: Instant, team: &TeamId, remaining: Tokens) {
         let borrows = !self.ownership.owners(team).is_empty();
         let allowance = &self.allowances[team];
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Asks those that keep budgets for what runs low here, before a request has to wait for it.
+    /// Requests budget from its owners for teams marked as low, before a request has to wait for it.
     pub(super) fn borrow_ahead(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         let mut effects = Vec::new();
         for team in std::mem::take(&mut self.low) {
@@ -104,9 +106,9 @@
         effects
     }
 
-    /// Gives back to those that keep a budget what requests here left over of what was borrowed for them.
+    /// Returns to its owners the borrowed budget that requests here did not use.
     ///
-    /// Two hundred routers that each held on to the rest of one request would hold seconds of a team's demand.
+    /// Two hundred routers that each kept the remainder of one request would hold back seconds of a team's demand.
     pub(crate) fn return_unused(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         if self.gave_back.is_some_and(|at| now < at + RETURN_INTERVAL) {
             return Vec::new();
@@ -135,14 +137,14 @@
         effects
     }
 
-    /// Returns whether others keep a team's budget for this router, and one of them may have some of it.
+    /// Returns whether other routers own a team's budget and one of them may be asked for a loan.
     pub(super) fn is_owned_elsewhere(&self, now: Instant, team: &TeamId) -> bool {
         let owners = self.ownership.responsive_owners(now, team);
         let allowance = self.allowances.get(team);
         allowance.is_some_and(|allowance| allowance.loans.can_request_from_owner(now, &owners))
     }
 
-    /// Lends out of a budget that this router keeps for others: their requests are served like its own.
+    /// Lends from a budget that this router owns. Borrowers' requests are served like its own.
     pub(super) fn lend_owned(
         &mut self,
         now: Instant,
@@ -181,7 +183,7 @@
         None
     }
 
-    /// Lends as much of what is asked for as is open now; the rest may lie at another owner.
+    /// Lends as much of the requested amount as is open now. Another owner may have the remainder.
     pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
         let open = self.open_to(now, &ask.team, ask.priority);
         let Some(allowance) = self.allowances.get_mut(&ask.team) else {
--- a/src/router/peer_budgets.rs
+++ b/src/router/peer_budgets.rs
@@ -1,4 +1,4 @@
-//! What is left of each budget in this router's reach, and for how long it must last.
+//! Budgets reported by other routers, and how much of each budget is in reach of this router and how long it must last.
 
 use std::hash::BuildHasherDefault;
 use std::time::Duration;
@@ -16,61 +16,61 @@
 use crate::router::loans::PeerBudget;
 use crate::tokens::Tokens;
 
-/// How long the rest of a budget is to last for its most urgent requests where most of it is out of reach: as long as a loss
-/// of power of all routers is felt.
+/// How long the remaining budget must last for its most urgent requests if most of it is out of reach: as long as the
+/// effects of a power loss of all routers.
 const RATION_PERIOD: Duration = Duration::from_secs(10);
 
-/// More than this part of what was prepaid must be out of reach to be thought lost. What routers spent and have not yet
-/// written down looks the same, but is less.
+/// Budget counts as lost only if the part out of reach exceeds the prepaid amount divided by this. Tokens that routers
+/// have spent but not yet recorded look the same, but are fewer.
 const LOSS_DIVISOR: u64 = 20;
 
-/// How long a cut from the log is thought to go on at least, however long it has been.
+/// The minimum time for which an outage of the log is expected to continue, however long it has lasted.
 const MIN_OUTAGE_LEFT: Duration = Duration::from_secs(2);
 
-/// How often what other routers say of their budgets is gathered. They say it twice a second.
+/// How often the reports of other routers are collected. Routers send them twice a second.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Of how many routers' words all can be new after that time. Those of a larger fleet take turns, and are gathered as much
-/// less often.
+/// How many routers can all have sent new reports within [`REFRESH_INTERVAL`]. In a larger fleet, routers take turns in
+/// reporting, and their reports are collected proportionally less often.
 const PEERS_PER_INTERVAL: usize = 24;
 
-/// How seldom they are gathered at most: so long a router that has just got budget is not asked for a loan.
+/// The longest collection interval. For up to this long, a router that has just drawn budget is not asked for a loan.
 const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A router that was heard of lately, and what it said of its budgets.
+/// The budgets reported in a router's recent heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct BudgetReport {
-    /// How to reach it.
+    /// The router that sent the report.
     pub(crate) peer: Peer,
-    /// What it said.
+    /// Its budgets.
     pub(crate) budgets: Vec<PurseWord>,
 }
 
-/// What the other routers say of one budget.
+/// What the other routers report of one team's budget.
 #[derive(Debug, Default)]
 struct PeerTotals {
-    /// What lies idle at all of them.
+    /// Their idle tokens in total.
     free: Tokens,
-    /// How fast it is asked for at all of them, in tokens a second.
+    /// Their total demand, in tokens per second.
     demand: f64,
-    /// Each of them.
+    /// Each router's report.
     budgets: Vec<PeerBudget>,
 }
 
-/// What the other routers say of all budgets, and when it was last gathered.
+/// What the other routers report of all budgets.
 ///
-/// Gathered for each event while a request waits, as in a cut, it took two fifths of what a router used of its processor in a
-/// fleet of 64 routers and 24 teams.
+/// The totals are cached: computed for every event while a request waits, as during an outage of the log, they took two
+/// fifths of a router's CPU time in a fleet of 64 routers and 24 teams.
 #[derive(Debug, Default)]
 pub(super) struct PeerBudgets {
-    /// Those that said anything lately, whatever of.
+    /// All routers that sent a report, with or without budgets.
     peers: Vec<Peer>,
     teams: IndexMap<TeamId, PeerTotals, BuildHasherDefault<FastHasher>>,
     updated_at: Option<Instant>,
 }
 
 impl PeerBudgets {
-    /// Returns whether it is time to gather what they say.
+    /// Returns whether the reports are to be collected again.
     fn is_due(&self, now: Instant) -> bool {
         let peers = u32::try_from(self.peers.len() / PEERS_PER_INTERVAL).unwrap_or(u32::MAX);
         let interval = REFRESH_INTERVAL
@@ -79,7 +79,7 @@
         self.updated_at.is_none_or(|at| now >= at + interval)
     }
 
-    /// Takes in what they say.
+    /// Replaces the reports.
     fn update(&mut self, now: Instant, reports: &[BudgetReport]) {
         self.updated_at = Some(now);
         self.peers = reports.iter().map(|report| report.peer.clone()).collect();
@@ -94,27 +94,27 @@
         }
     }
 
-    /// Returns how many of them there are.
+    /// Returns the number of other routers that sent a report.
     pub(super) fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Returns how fast a budget is asked for at all of them, in tokens a second.
+    /// Returns the demand for a team's budget at the other routers, in tokens per second.
     pub(super) fn demand(&self, team: &TeamId) -> f64 {
         self.teams.get(team).map_or(0.0, |team| team.demand)
     }
 
-    /// Returns what lies idle of a budget at all of them.
+    /// Returns the tokens of a team's budget that are idle at the other routers.
     fn free(&self, team: &TeamId) -> Tokens {
         self.teams.get(team).map_or(Tokens::ZERO, |team| team.free)
     }
 
-    /// Returns who said something of a budget.
+    /// Returns the routers that reported a team's budget.
     pub(super) fn lenders(&self, team: &TeamId) -> &[PeerBudget] {
         self.teams.get(team).map_or(&[], |team| &team.budgets)
     }
 
-    /// Returns who may take a budget over: those that said something of it, or else all.
+    /// Returns the routers that a team's budget can be transferred to: those that reported it, or all if none did.
     pub(super) fn recipients(&self, team: &TeamId) -> Vec<PeerBudget> {
         let lenders = self.lenders(team);
         if !lenders.is_empty() {
@@ -142,22 +142,23 @@
 }
 
 impl Funds {
-    /// Returns whether it is time to gather what other routers say of their budgets.
+    /// Returns whether the reports of other routers are to be collected again.
     pub(crate) fn is_refresh_due(&self, now: Instant) -> bool {
         self.others.is_due(now)
     }
 
-    /// Has what other routers say be gathered at once: one of them is new, and may be the only one to borrow from.
+    /// Makes the reports due for collection at once: a new router has joined, and it may be the only one to borrow
+    /// from.
     pub(crate) fn request_refresh(&mut self) {
         self.others.updated_at = None;
     }
 
-    /// Takes in what other routers say of their budgets.
+    /// Replaces the reports of other routers.
     pub(crate) fn update_peer_budgets(&mut self, now: Instant, reports: &[BudgetReport]) {
         self.others.update(now, reports);
     }
 
-    /// Returns what is left of a team's budget in this router's reach, and for how long it must last.
+    /// Returns how much of a team's budget is in reach of this router, and how long it must last.
     pub(super) fn remainder(&self, now: Instant, team: &TeamId) -> Remainder {
         let here = match self.away {
             Some(_) => self.held(team),
@@ -175,14 +176,14 @@
         }
     }
 
-    /// Returns whether routers in reach have an amount of a team's budget, or the log has it.
+    /// Returns whether the reachable routers and the log together have an amount of a team's budget.
     pub(crate) fn is_in_reach(&self, team: &TeamId, amount: Tokens) -> bool {
         let reach = self.reach(team).saturating_add(self.others.free(team));
         reach >= amount
     }
 
-    /// Returns how fast a team's budget is asked for in the whole fleet, in tokens a second. Owners count what borrowers'
-    /// callers ask for.
+    /// Returns the demand for a team's budget in the whole fleet, in tokens per second. The demand of owners includes
+    /// that of borrowers' callers.
     fn team_demand(&self, now: Instant, team: &TeamId) -> f64 {
         let here = self.allowances.get(team).map_or(0.0, |a| a.rate(now));
         let others = self.others.demand(team);
@@ -192,15 +193,16 @@
         }
     }
 
-    /// Returns how much longer the log may be out of reach, if it is.
+    /// Returns how much longer an outage of the log is expected to continue, if there is one.
     pub(super) fn outage_left(&self, now: Instant) -> Option<Duration> {
         let elapsed = now.saturating_duration_since(self.away?);
         Some(COVER.saturating_sub(elapsed).max(MIN_OUTAGE_LEFT))
     }
 
-    /// Returns whether more of a team's budget is out of reach than in it: dead routers may have spent it, and nobody can tell.
+    /// Returns whether more of a team's budget is out of reach than in reach. Crashed routers may have spent that part,
+    /// which cannot be determined.
     ///
-    /// A budget that is simply used up is used to its end, by whoever asks: kept back, its last part would serve nobody.
+    /// A budget that is simply almost spent is not rationed: withholding its last part would serve no request at all.
     fn is_mostly_lost(&self, team: &TeamId, reach: Tokens) -> bool {
         let prepaid = self
             .allowances
