--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -201,7 +201,7 @@
         }
         allowance.reserved += amount;
         allowance.gave(now, amount);
-        self.note_low(now, team, available - amount);
+        self.mark_low(now, team, available - amount);
         Reserve::Done
     }
 
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -66,7 +66,10 @@
     pub(crate) fn has_released_all(&self) -> bool {
         let teams = self.allowances.keys();
         let mut idle = teams.map(|team| self.held(team).min(self.book.granted(team)));
-        let transferring = self.allowances.values().any(|a| a.loans.has_unconfirmed());
+        let transferring = self
+            .allowances
+            .values()
+            .any(|a| a.loans.has_unconfirmed_transfers());
         let settled = self.book.pending().is_none() || self.failures > 0;
         settled && !transferring && idle.all(|idle| idle == Tokens::ZERO)
     }
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -43,18 +43,18 @@
             if needed == Tokens::ZERO {
                 continue;
             }
-            let first = allowance
+            let waiting_since = allowance
                 .waiting
                 .front()
                 .map_or(now, |waiting| waiting.since);
             // If the log answers at all, it grants undrawn budget within some milliseconds.
-            if log_may_help && now < first + LOAN_DELAY {
+            if log_may_help && now < waiting_since + LOAN_DELAY {
                 continue;
             }
             let ahead = Tokens((allowance.own_rate(now) * LOAN_COVER.as_secs_f64()) as u64);
             let need = LoanNeed {
                 amount: needed.saturating_add(ahead).min(left),
-                total_requested: allowance.asked,
+                total_demand: allowance.asked,
                 priority: allowance.most_urgent(),
             };
             let lenders = self.others.lenders(&team);
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -56,7 +56,7 @@
     /// The amount to borrow.
     pub(crate) amount: Tokens,
     /// Total demand of this router's own callers so far.
-    pub(crate) total_requested: Tokens,
+    pub(crate) total_demand: Tokens,
     /// Priority of the most urgent request that needs the loan; 0 is the most urgent.
     pub(crate) priority: u8,
 }
@@ -87,9 +87,9 @@
     /// Answer given to each loan request, by borrower and request number.
     answers: IndexMap<(Incarnation, u64), Tokens>,
     /// Transfers received, by sender and transfer number.
-    received: IndexMap<(Incarnation, u64), Tokens>,
+    received_transfers: IndexMap<(Incarnation, u64), Tokens>,
     /// Number of outgoing transfers whose outcome has not been reported yet.
-    unconfirmed: u32,
+    unconfirmed_transfers: u32,
     /// The loan request in flight.
     pending: Option<PendingRequest>,
     /// Round-trip time of the last answered request.
@@ -196,7 +196,7 @@
             number: self.number,
             team: team.clone(),
             amount: need.amount,
-            asked: need.total_requested,
+            asked: need.total_demand,
             priority: need.priority,
         };
         Effect::Borrow(ask, peer)
@@ -309,7 +309,7 @@
     ) -> Effect {
         self.lent += amount;
         self.number += 1;
-        self.unconfirmed += 1;
+        self.unconfirmed_transfers += 1;
         let gift = Gift {
             giver: me,
             number: self.number,
@@ -333,23 +333,23 @@
     }
 
     /// Returns whether the outcome of an outgoing transfer is still open.
-    pub(crate) fn has_unconfirmed(&self) -> bool {
-        self.unconfirmed > 0
+    pub(crate) fn has_unconfirmed_transfers(&self) -> bool {
+        self.unconfirmed_transfers > 0
     }
 
     /// Notes that a transfer was confirmed, or that its outcome is unknown.
     pub(crate) fn finish_transfer(&mut self) {
-        self.unconfirmed = self.unconfirmed.saturating_sub(1);
+        self.unconfirmed_transfers = self.unconfirmed_transfers.saturating_sub(1);
     }
 
     /// Adds a received transfer to the budget. A repeated transfer counts once.
     pub(crate) fn receive(&mut self, gift: &Gift) {
         let key = (gift.giver, gift.number);
-        if self.received.insert(key, gift.amount).is_none() {
+        if self.received_transfers.insert(key, gift.amount).is_none() {
             self.borrowed += gift.amount;
         }
-        if self.received.len() > HISTORY_CAPACITY {
-            self.received.shift_remove_index(0);
+        if self.received_transfers.len() > HISTORY_CAPACITY {
+            self.received_transfers.shift_remove_index(0);
         }
     }
 
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -60,7 +60,7 @@
         let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
         let need = LoanNeed {
             amount: missing.saturating_add(Tokens(ahead as u64)).min(left),
-            total_requested: allowance.asked,
+            total_demand: allowance.asked,
             priority: allowance.most_urgent(),
         };
         let owners = self.ownership.responsive_owners(now, team);
@@ -70,7 +70,7 @@
     }
 
     /// Marks a team whose remaining budget here would run out before a loan arrives.
-    pub(super) fn note_low(&mut self, now: Instant, team: &TeamId, remaining: Tokens) {
+    pub(super) fn mark_low(&mut self, now: Instant, team: &TeamId, remaining: Tokens) {
         let borrows = !self.ownership.owners(team).is_empty();
         let allowance = &self.allowances[team];
         if borrows && remaining < allowance.loan_demand(now) && allowance.waiting.is_empty() {
@@ -87,14 +87,14 @@
             let owners = self.ownership.responsive_owners(now, &team);
             let allowance = &mut self.allowances[&team];
             let demand = allowance.loan_demand(now);
-            let aim = demand.saturating_add(demand);
-            let amount = aim.saturating_sub(remaining).min(left);
+            let target = demand.saturating_add(demand);
+            let amount = target.saturating_sub(remaining).min(left);
             if amount == Tokens::ZERO || !allowance.waiting.is_empty() {
                 continue;
             }
             let need = LoanNeed {
                 amount,
-                total_requested: allowance.asked,
+                total_demand: allowance.asked,
                 priority: LEAST_URGENT,
             };
             effects.extend(
@@ -170,8 +170,8 @@
         {
             return Some(Tokens::ZERO);
         }
-        let first = allowance.waiting.is_empty();
-        if log_failing || first && open >= ask.amount {
+        let is_first = allowance.waiting.is_empty();
+        if log_failing || is_first && open >= ask.amount {
             return Some(self.lend_open(now, ask));
         }
         allowance.waiting.push_back(Waiting {
--- a/src/router/peer_budgets.rs
+++ b/src/router/peer_budgets.rs
@@ -120,12 +120,12 @@
         if !lenders.is_empty() {
             return lenders.to_vec();
         }
-        let idle_peers = self.peers.iter().map(|peer| PeerBudget {
+        let peers = self.peers.iter().map(|peer| PeerBudget {
             peer: peer.clone(),
             free: Tokens::ZERO,
             demand: 0,
         });
-        idle_peers.collect()
+        peers.collect()
     }
 }
 
