--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -26,7 +26,7 @@
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
 use crate::router::request::Request;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
@@ -208,7 +208,7 @@
             tried: Vec::new(),
             wasted: Tokens::ZERO,
             dispatched: false,
-            stake: Stake::None,
+            reservation: Reservation::None,
             entered: false,
             relay: None,
         })
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -17,7 +17,7 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 
 /// When a caller may come back to a router that is cut off from the log.
@@ -45,7 +45,7 @@
             bearer: request.bearer,
         });
         request.claimed = Some(now);
-        request.stake = Stake::Pushed;
+        request.reservation = Reservation::Pending;
         request.state = State::Claiming { endpoint };
         self.appender.push(record, Ticket::Claim(id));
         if outage {
@@ -94,12 +94,12 @@
         }
         match verdict {
             Verdict::Accepted => {
-                request.stake = Stake::Held;
+                request.reservation = Reservation::Claimed;
                 self.claimed(now, id);
             }
             Verdict::Granted(_) => {}
             Verdict::Void(void) => {
-                request.stake = Stake::None;
+                request.reservation = Reservation::None;
                 self.claim_void(now, id, void);
             }
         }
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -19,7 +19,7 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
@@ -93,7 +93,7 @@
             // A small request may pass a large one: the large one is refused if it can't be had, not the small one.
             if purse.available(free) >= request.reserve {
                 purse.promise(request.reserve);
-                request.stake = Stake::Funded;
+                request.reservation = Reservation::Funded;
                 funded.push(id);
             } else {
                 purse.waiting.push_back(id);
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -26,7 +26,7 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::waiting::Unfunded;
 use crate::tokens::Tokens;
 
@@ -87,7 +87,7 @@
         let priority = request.relay.as_ref().map_or(0, |terms| terms.priority);
         match self.funds.reserve(now, &team, priority, amount) {
             Reserve::Done => {
-                request.stake = Stake::Funded;
+                request.reservation = Reservation::Funded;
                 self.enqueue(now, id);
             }
             Reserve::Short => {
@@ -108,7 +108,7 @@
         for (who, amount) in self.funds.funded(now) {
             match who {
                 Waiter::Request(id) => {
-                    self.requests[&id].stake = Stake::Funded;
+                    self.requests[&id].reservation = Reservation::Funded;
                     self.enqueue(now, id);
                 }
                 Waiter::Loan(ids, _) => self.answer_loans(ids, amount),
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -16,7 +16,7 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 
 /// How it can be known that a request was not run.
@@ -66,8 +66,8 @@
             Proof::None => self.send_refusal(now, id, problem),
             Proof::Record => {
                 let request = &mut self.requests[&id];
-                let record = match request.stake {
-                    Stake::Held => Record::Release {
+                let record = match request.reservation {
+                    Reservation::Claimed => Record::Release {
                         key: request.key.clone(),
                     },
                     _ => Record::Refuse {
@@ -122,7 +122,7 @@
         }
         // A claim on its way may still be accepted, though this router will not act on it; another attempt's router
         // may have acted on that attempt's.
-        let claiming = request.stake == Stake::Pushed && request.attempt != Attempt(1);
+        let claiming = request.reservation == Reservation::Pending && request.attempt != Attempt(1);
         if request.dispatched || elsewhere || claiming {
             return Proof::None;
         }
@@ -131,7 +131,7 @@
         if ran {
             return Proof::None;
         }
-        if request.stake == Stake::Held {
+        if request.reservation == Reservation::Claimed {
             return match self.in_outage(now) {
                 true => Proof::None,
                 false => Proof::Record,
@@ -161,7 +161,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.stake = Stake::None;
+        request.reservation = Reservation::None;
         let State::Proving { problem } = &mut request.state else {
             self.finish(now, id);
             return;
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -27,7 +27,7 @@
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
 use crate::router::request::Request;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 use crate::router::request::Terms;
 use crate::router::run::FAILED_RETRY;
@@ -100,7 +100,7 @@
             tried: Vec::new(),
             wasted: Tokens::ZERO,
             dispatched: false,
-            stake: Stake::None,
+            reservation: Reservation::None,
             entered: false,
             relay: Some(Terms {
                 account,
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -48,7 +48,7 @@
     /// Whether it was sent to an endpoint at all.
     pub(crate) dispatched: bool,
     /// What the ledger and the purse have of it.
-    pub(crate) stake: Stake,
+    pub(crate) reservation: Reservation,
     /// Whether it counts against its account's limit.
     pub(crate) entered: bool,
     /// The terms of a request that is passed on as it came.
@@ -97,15 +97,15 @@
 
 /// How far a request's reservation has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stake {
+pub(crate) enum Reservation {
     /// Nothing is reserved.
     None,
     /// It is promised in the purse.
     Funded,
     /// Its claim is on its way; the promise stays until the verdict.
-    Pushed,
+    Pending,
     /// Its claim stands in the ledger.
-    Held,
+    Claimed,
 }
 
 /// Where a request is.
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -23,7 +23,7 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 use crate::router::request::Then;
 use crate::tokens::Tokens;
@@ -147,7 +147,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.stake = Stake::None;
+        request.reservation = Reservation::None;
         let State::Billing { then } = &request.state else {
             self.finish(now, id);
             return;
@@ -333,10 +333,10 @@
             return;
         };
         request.state = State::Abandoned;
-        match request.stake {
-            Stake::None | Stake::Funded => self.finish(now, id),
-            Stake::Pushed => {}
-            Stake::Held => self.release_claim(id),
+        match request.reservation {
+            Reservation::None | Reservation::Funded => self.finish(now, id),
+            Reservation::Pending => {}
+            Reservation::Claimed => self.release_claim(id),
         }
     }
 
@@ -348,12 +348,12 @@
         let took = now.saturating_duration_since(request.arrived);
         info!(event = "finished", request = %id, took_ms = took.as_millis());
         if let Some(terms) = &request.relay {
-            if request.stake == Stake::Funded {
+            if request.reservation == Reservation::Funded {
                 let (team, reserved) = (&request.team, request.reserve);
                 info!(event = "settled", request = %id, %team, %reserved, used = %terms.used);
                 self.funds.settle(team, reserved, terms.used);
             }
-        } else if request.stake == Stake::Funded
+        } else if request.reservation == Reservation::Funded
             && let Some(purse) = self.purses.get_mut(&request.team)
         {
             purse.settle(request.reserve);
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -22,7 +22,7 @@
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
 use crate::router::event::Entry;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 
 /// How often the ledger is asked for where the log does not give it: a log that only stutters answers sooner.
@@ -236,7 +236,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.stake = Stake::None;
+        request.reservation = Reservation::None;
         match request.state {
             State::Contended => {}
             State::Funding { .. } => self.fund(now, id),
