--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -19,8 +19,8 @@
 use crate::router::effect::Peer;
 use crate::router::event::AdminId;
 use crate::router::event::KeptBatches;
+use crate::router::request::AnswerEnd;
 use crate::router::request::State;
-use crate::router::request::Then;
 use crate::settings::EndMarker;
 
 /// How often peers are sent what is new. Callers wait this long for the end of their answers, and at 100 bytes a record
@@ -186,12 +186,12 @@
             && matches!(
                 request.state,
                 State::Billing {
-                    then: Then::Release
+                    answer_end: AnswerEnd::Withheld
                 }
             )
         {
             request.state = State::Billing {
-                then: Then::Released,
+                answer_end: AnswerEnd::Released,
             };
             info!(event = "bill-kept", request = %id);
             self.effects.push(Effect::Release(id));
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -137,7 +137,7 @@
     /// Its bill is on its way to the log.
     Billing {
         /// What the caller gets then.
-        then: Then,
+        answer_end: AnswerEnd,
     },
     /// The proof that it was not run is on its way to the log.
     Proving {
@@ -160,11 +160,11 @@
 
 /// What a caller gets once its request is billed.
 #[derive(Debug)]
-pub(crate) enum Then {
+pub(crate) enum AnswerEnd {
     /// The end of its answer.
-    Release,
+    Withheld,
     /// The end of its answer went out before, on other routers' word that they keep the bill.
     Released,
     /// Nothing more: it has its answer's cut or its refusal already.
-    Nothing,
+    None,
 }
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -23,9 +23,9 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
+use crate::router::request::AnswerEnd;
 use crate::router::request::Reservation;
 use crate::router::request::State;
-use crate::router::request::Then;
 use crate::tokens::Tokens;
 
 /// When a caller whose endpoint failed may come back: the time that a failing endpoint takes to be ejected.
@@ -102,11 +102,11 @@
         }
         match end {
             RunEnd::Whole { usage } => {
-                self.bill(id, usage.total(), Outcome::Whole, Then::Release);
+                self.bill(id, usage.total(), Outcome::Whole, AnswerEnd::Withheld);
             }
             RunEnd::Answered { status, body } => {
                 let outcome = Outcome::Answered { status, body };
-                self.bill(id, price, outcome, Then::Release);
+                self.bill(id, price, outcome, AnswerEnd::Withheld);
             }
             RunEnd::NotRun { retry } => self.not_run(now, id, retry),
             RunEnd::Broken { usage, begun, .. } => self.broken(now, id, usage, begun),
@@ -116,7 +116,7 @@
     }
 
     /// Bills a request; the caller gets what is left for it when the bill is durable.
-    fn bill(&mut self, id: RequestId, used: Tokens, outcome: Outcome, then: Then) {
+    fn bill(&mut self, id: RequestId, used: Tokens, outcome: Outcome, answer_end: AnswerEnd) {
         let request = &mut self.requests[&id];
         // What broken runs used is the team's or the house's, as the deployment says; a bill never passes what was
         // reserved, so the house bears the rest.
@@ -126,7 +126,7 @@
         };
         let amount = used.saturating_add(wasted).min(request.reserve);
         let credit = request.reserve - amount;
-        request.state = State::Billing { then };
+        request.state = State::Billing { answer_end };
         let team = request.team.clone();
         let record = Record::Bill {
             key: request.key.clone(),
@@ -148,22 +148,22 @@
             return;
         };
         request.reservation = Reservation::None;
-        let State::Billing { then } = &request.state else {
+        let State::Billing { answer_end } = &request.state else {
             self.finish(now, id);
             return;
         };
-        match (verdict, then) {
-            (Verdict::Accepted, Then::Release) => {
+        match (verdict, answer_end) {
+            (Verdict::Accepted, AnswerEnd::Withheld) => {
                 info!(event = "billed", request = %id);
                 self.effects.push(Effect::Release(id));
             }
-            (Verdict::Accepted, Then::Released | Then::Nothing) => {}
-            (_, Then::Release) => {
+            (Verdict::Accepted, AnswerEnd::Released | AnswerEnd::None) => {}
+            (_, AnswerEnd::Withheld) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
                 let detail = "the bill did not take effect; send it again to have it whole";
                 self.cut(id, detail);
             }
-            (_, Then::Released | Then::Nothing) => {
+            (_, AnswerEnd::Released | AnswerEnd::None) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
             }
         }
@@ -215,7 +215,7 @@
             };
             let detail = "the service had the call when its connection broke; ask the service whether it took effect";
             self.refuse_running(id, ProblemKind::OutcomeUnknown, detail);
-            self.bill(id, charged, Outcome::Unknown, Then::Nothing);
+            self.bill(id, charged, Outcome::Unknown, AnswerEnd::None);
             return;
         }
         if !begun {
@@ -232,7 +232,7 @@
     /// Ends a request whose run failed and is not tried again; what it used is billed.
     fn fail(&mut self, id: RequestId, used: Tokens) {
         self.cut(id, "the endpoint failed before the answer was whole");
-        self.bill(id, used, Outcome::Cut, Then::Nothing);
+        self.bill(id, used, Outcome::Cut, AnswerEnd::None);
     }
 
     fn cut(&mut self, id: RequestId, detail: &str) {
@@ -253,7 +253,7 @@
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
         match request.dispatched {
-            true => self.bill(id, Tokens::ZERO, Outcome::Cut, Then::Nothing),
+            true => self.bill(id, Tokens::ZERO, Outcome::Cut, AnswerEnd::None),
             false => self.abandon(now, id),
         }
     }
@@ -269,7 +269,7 @@
             // It goes on at the service, and its price is its price.
             (Work::Call { .. } | Work::Relay(_), _) => (request.reserve, Outcome::Cut),
         };
-        self.bill(id, used, outcome, Then::Nothing);
+        self.bill(id, used, outcome, AnswerEnd::None);
     }
 
     /// Gives up a request that can't be billed any more.
@@ -277,7 +277,7 @@
         let released = matches!(
             self.requests[&id].state,
             State::Billing {
-                then: Then::Released | Then::Nothing
+                answer_end: AnswerEnd::Released | AnswerEnd::None
             }
         );
         if !released {
@@ -300,7 +300,7 @@
             State::Running { .. } => {}
             State::Billing { .. } => {
                 self.requests[&id].state = State::Billing {
-                    then: Then::Nothing,
+                    answer_end: AnswerEnd::None,
                 };
             }
             _ => {
