--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -25,8 +25,8 @@
         let Some((prompt, pool)) = terms.prompt.zip(self.pools.get_mut(&request.pool)) else {
             return;
         };
-        terms.expected = pool.picker.chooser.send(now, choice, &prompt);
-        let Some((tokens, _)) = terms.expected.filter(|(tokens, _)| *tokens >= LONG) else {
+        terms.expected_prefill = pool.picker.chooser.send(now, choice, &prompt);
+        let Some((tokens, _)) = terms.expected_prefill.filter(|(tokens, _)| *tokens >= LONG) else {
             return;
         };
         let reading = Reading {
@@ -43,7 +43,10 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let expected = request.relay.as_ref().and_then(|terms| terms.expected);
+        let expected = request
+            .relay
+            .as_ref()
+            .and_then(|terms| terms.expected_prefill);
         if let State::Running {
             endpoint, since, ..
         } = &request.state
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -26,10 +26,10 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
+use crate::router::request::RelayTerms;
 use crate::router::request::Request;
 use crate::router::request::Reservation;
 use crate::router::request::State;
-use crate::router::request::Terms;
 use crate::router::run::FAILED_RETRY;
 use crate::tokens::Tokens;
 
@@ -102,7 +102,7 @@
             dispatched: false,
             reservation: Reservation::None,
             entered: false,
-            relay: Some(Terms {
+            relay: Some(RelayTerms {
                 account,
                 repeat: route.repeat,
                 priority: route.priority,
@@ -113,9 +113,9 @@
                 stride,
                 objective: route.objective,
                 prompt: relay.prompt,
-                expected: None,
+                expected_prefill: None,
                 stopped: false,
-                left: false,
+                timed_out: false,
             }),
         })
     }
@@ -208,7 +208,7 @@
                 return;
             }
             if let Some(terms) = self.requests[&id].relay.as_mut() {
-                terms.left = true;
+                terms.timed_out = true;
             }
             info!(event = "silent", request = %id);
             self.effects.push(Effect::Leave(id));
@@ -239,7 +239,7 @@
             return false;
         };
         let again = terms.repeat != Repeat::Never && terms.runs + 1 < terms.attempts;
-        again && !terms.left && !terms.stopped && self.is_silent(now)
+        again && !terms.timed_out && !terms.stopped && self.is_silent(now)
     }
 
     /// Returns whether it runs, and nothing came for much longer than its answer should take.
@@ -270,7 +270,7 @@
     }
 }
 
-impl Terms {
+impl RelayTerms {
     /// Counts what a run gave its caller, and whether it may have run at all; `limit` is the most that an answer may have.
     ///
     /// The prompt counts once however many runs read it, and only where something came of one of them. Charged for the
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -52,7 +52,7 @@
     /// Whether it counts against its account's limit.
     pub(crate) entered: bool,
     /// The terms of a request that is passed on as it came.
-    pub(crate) relay: Option<Terms>,
+    pub(crate) relay: Option<RelayTerms>,
 }
 
 /// The terms on which a request is passed on as it came.
@@ -60,7 +60,7 @@
 /// Such a request has no key: only the router that has its connection can dispatch it, so that at most once needs no
 /// record in the log, and what it uses is counted in the router's own grant.
 #[derive(Clone, Debug)]
-pub(crate) struct Terms {
+pub(crate) struct RelayTerms {
     /// The client account, if the route asks for one.
     pub(crate) account: Option<AccountId>,
     /// What may be repeated.
@@ -82,9 +82,9 @@
     /// Its prompt, if it has one.
     pub(crate) prompt: Option<Prompt>,
     /// How many tokens of it the endpoint has to read, and when its first token is expected.
-    pub(crate) expected: Option<(u64, Instant)>,
+    pub(crate) expected_prefill: Option<(u64, Instant)>,
     /// Whether an endpoint was left for its silence.
-    pub(crate) left: bool,
+    pub(crate) timed_out: bool,
     /// Whether it was told to stop, so that only its use is still to come.
     pub(crate) stopped: bool,
 }
