--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -44,7 +44,7 @@
             idempotent: request.idempotent,
             bearer: request.bearer,
         });
-        request.claimed = Some(now);
+        request.claimed_at = Some(now);
         request.reservation = Reservation::Pending;
         request.state = State::Claiming { endpoint };
         self.appender.push(record, Ticket::Claim(id));
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -75,12 +75,17 @@
             self.chooser
                 .choose(now, &wish, &self.index, &self.health, rng)
         };
-        let strict = [request.tried.clone(), forbidden.clone(), avoided.clone()].concat();
+        let strict = [
+            request.failed_endpoints.clone(),
+            forbidden.clone(),
+            avoided.clone(),
+        ]
+        .concat();
         let choice = choose(&strict);
         if choice.is_some() || avoided.is_empty() {
             return choice;
         }
-        choose(&[request.tried.clone(), forbidden].concat())
+        choose(&[request.failed_endpoints.clone(), forbidden].concat())
     }
 
     /// Returns the endpoints that a suspect must keep off: those where another suspect runs, and those where another
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -296,7 +296,7 @@
             RunEnd::CallerGone { .. } | RunEnd::Unsent => (Sample::Other, None),
         };
         if matches!(end, RunEnd::NotRun { .. } | RunEnd::Broken { .. }) {
-            request.tried.push(endpoint.clone());
+            request.failed_endpoints.push(endpoint.clone());
         }
         let fingerprint = request.fingerprint;
         match end {
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -141,7 +141,7 @@
             return Proof::None;
         }
         // What came before a pause may have been tried elsewhere during it, as above.
-        if request.attempt == Attempt(1) && !self.is_stale(request.arrived) {
+        if request.attempt == Attempt(1) && !self.is_stale(request.arrived_at) {
             return Proof::Known;
         }
         // A router that is cut off from the log may run what its peers alone know to be claimed; where one keeper is
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -36,13 +36,13 @@
     pub(crate) limit: Tokens,
     pub(crate) priority: u8,
     pub(crate) work: Work,
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// When its last claim joined a batch.
-    pub(crate) claimed: Option<Instant>,
+    pub(crate) claimed_at: Option<Instant>,
     pub(crate) deadline: Instant,
     pub(crate) state: State,
     /// Endpoints that failed over it.
-    pub(crate) tried: Vec<VmId>,
+    pub(crate) failed_endpoints: Vec<VmId>,
     /// What runs that broke off used.
     pub(crate) wasted: Tokens,
     /// Whether it was sent to an endpoint at all.
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -59,7 +59,7 @@
             team: request.team.clone(),
             limit: request.limit.0,
             priority: request.priority,
-            claim_wait: request.claimed.map_or(Duration::ZERO, |at| now - at),
+            claim_wait: request.claimed_at.map_or(Duration::ZERO, |at| now - at),
             idempotent: request.idempotent,
             relay: request.relay_run(),
         };
@@ -192,7 +192,7 @@
     /// When many endpoints fail, each retry adds load where there is least room for it; without the budget, retries
     /// keep the rest down.
     pub(crate) fn try_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
-        let tries = self.requests[&id].tried.len();
+        let tries = self.requests[&id].failed_endpoints.len();
         if tries >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
             return false;
         }
@@ -345,7 +345,7 @@
         let Some(request) = self.requests.swap_remove(&id) else {
             return;
         };
-        let took = now.saturating_duration_since(request.arrived);
+        let took = now.saturating_duration_since(request.arrived_at);
         info!(event = "finished", request = %id, took_ms = took.as_millis());
         if let Some(terms) = &request.relay {
             if request.reservation == Reservation::Funded {
@@ -398,7 +398,7 @@
                 let detail = "the wait for an endpoint outlasted the deadline";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
-            State::Funding { .. } if outage && now >= request.arrived + FUNDING_OUTAGE => {
+            State::Funding { .. } if outage && now >= request.arrived_at + FUNDING_OUTAGE => {
                 let detail = "the log service can't be reached, and this router holds too little of the budget";
                 let instead = self.other_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
