--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -51,7 +51,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.state = State::Funding { short: None };
+        request.state = State::Funding { short_since: None };
         if request.relay.is_some() {
             return self.fund_relay(now, id);
         }
@@ -174,10 +174,10 @@
                 continue;
             };
             let hopeless = request.reserve > unspent;
-            let State::Funding { short } = &mut request.state else {
+            let State::Funding { short_since } = &mut request.state else {
                 continue;
             };
-            let since = *short.get_or_insert(now);
+            let since = *short_since.get_or_insert(now);
             if hopeless || now >= since + SHORT_WAIT {
                 self.refuse_spent(now, id, hopeless);
             }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -275,13 +275,13 @@
         let State::Running {
             endpoint,
             since,
-            first,
+            first_token,
         } = &request.state
         else {
             return;
         };
         let endpoint = endpoint.clone();
-        let waited = first.map(|at| at - *since);
+        let waited = first_token.map(|at| at - *since);
         let time = waited.unwrap_or(now - *since);
         let (sample, evidence) = match end {
             RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -96,7 +96,7 @@
             arrived_at: now,
             claimed_at: None,
             deadline: now + wait,
-            state: State::Funding { short: None },
+            state: State::Funding { short_since: None },
             failed_endpoints: Vec::new(),
             wasted: Tokens::ZERO,
             dispatched: false,
@@ -251,7 +251,9 @@
         match (&self.state, limit) {
             (
                 State::Running {
-                    since, first: None, ..
+                    since,
+                    first_token: None,
+                    ..
                 },
                 Some(limit),
             ) => now >= *since + limit,
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -116,7 +116,7 @@
     /// It waits for budget.
     Funding {
         /// Since when it asks for more than can be drawn.
-        short: Option<Instant>,
+        short_since: Option<Instant>,
     },
     /// It waits for an endpoint.
     Queued,
@@ -132,7 +132,7 @@
         /// Since when.
         since: Instant,
         /// When its first token came.
-        first: Option<Instant>,
+        first_token: Option<Instant>,
     },
     /// Its bill is on its way to the log.
     Billing {
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -50,7 +50,7 @@
         request.state = State::Running {
             endpoint: endpoint.clone(),
             since: now,
-            first: None,
+            first_token: None,
         };
         let run = Run {
             endpoint: endpoint.clone(),
@@ -71,15 +71,15 @@
     pub(crate) fn started(&mut self, now: Instant, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && let State::Running {
-                first,
+                first_token,
                 since,
                 endpoint,
             } = &mut request.state
         {
-            if first.is_none() {
+            if first_token.is_none() {
                 info!(event = "first", request = %id, %endpoint, took_ms = (now - *since).as_millis());
             }
-            first.get_or_insert(now);
+            first_token.get_or_insert(now);
             self.prompt_read(now, id);
         }
     }
