--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -31,7 +31,7 @@
 use crate::tokens::Tokens;
 
 /// What the ledger and this router's own desk say of a request that arrived.
-pub(crate) enum Look {
+pub(crate) enum Disposition {
     /// Nothing stands against it.
     Run,
     /// Another attempt is in progress.
@@ -216,8 +216,8 @@
 
     /// Sends an admitted request on its way, by what is known of its key.
     pub(crate) fn go_in(&mut self, now: Instant, id: RequestId) {
-        match self.look(id) {
-            Look::Run => {
+        match self.disposition(id) {
+            Disposition::Run => {
                 if !self.requests[&id].idempotent && self.in_outage(now) {
                     // Without the log nobody can tell whether another router runs it as well.
                     let detail = "the log service does not answer, and without it a call that may not be repeated \
@@ -229,15 +229,15 @@
                 self.active.insert(key, id);
                 self.fund(now, id);
             }
-            Look::Wait => {
+            Disposition::Wait => {
                 self.requests[&id].state = State::Contended;
                 self.contended.push(id);
             }
-            Look::Replay(replay) => {
+            Disposition::Replay(replay) => {
                 self.effects.push(Effect::Replay(id, replay));
                 self.finish(now, id);
             }
-            Look::Refuse(kind, ran, detail) => {
+            Disposition::Refuse(kind, ran, detail) => {
                 self.send_refusal(now, id, Problem::new(kind, ran, detail))
             }
         }
@@ -247,23 +247,23 @@
     ///
     /// What it finds may be old; the claim's verdict decides. Looking first spares the log a claim that is sure to be
     /// void, and lets a retry wait for the attempt before it.
-    pub(crate) fn look(&self, id: RequestId) -> Look {
+    pub(crate) fn disposition(&self, id: RequestId) -> Disposition {
         let request = &self.requests[&id];
         if let Some(other) = self.active.get(&request.key)
             && *other != id
         {
             return match self.requests[other].fingerprint == request.fingerprint {
-                true => Look::Wait,
+                true => Disposition::Wait,
                 false => OTHER_REQUEST,
             };
         }
         match self.ledger.key(&request.key) {
-            None => Look::Run,
-            Some(key) => self.look_at(request, key),
+            None => Disposition::Run,
+            Some(key) => self.ledger_disposition(request, key),
         }
     }
 
-    fn look_at(&self, request: &Request, key: &KeyState) -> Look {
+    fn ledger_disposition(&self, request: &Request, key: &KeyState) -> Disposition {
         if key
             .request
             .is_some_and(|other| other != request.fingerprint)
@@ -272,8 +272,8 @@
         }
         if let Some(claim) = &key.claim {
             return match self.ledger.is_open(claim.router) {
-                true if claim.router == self.me => Look::Run,
-                true => Look::Wait,
+                true if claim.router == self.me => Disposition::Run,
+                true => Disposition::Wait,
                 false => OUTCOME_UNKNOWN,
             };
         }
@@ -283,7 +283,7 @@
                 Outcome::Answered {
                     status,
                     body: Some(body),
-                } => Look::Replay(Replay {
+                } => Disposition::Replay(Replay {
                     status: *status,
                     body: body.clone(),
                 }),
@@ -292,7 +292,7 @@
             },
             Some(_) if key.reruns >= MAX_RERUNS => FINISHED,
             None if once && key.orphaned => OUTCOME_UNKNOWN,
-            _ => Look::Run,
+            _ => Disposition::Run,
         }
     }
 
@@ -347,19 +347,19 @@
 /// How soon a caller of a router that does not serve may try another: at once, but for a spread.
 const NOT_SERVING_RETRY: std::time::Duration = std::time::Duration::from_millis(100);
 
-const OTHER_REQUEST: Look = Look::Refuse(
+const OTHER_REQUEST: Disposition = Disposition::Refuse(
     ProblemKind::OtherRequest,
     Ran::Unknown,
     "the Idempotency-Key was used with another body or path",
 );
 
-const OUTCOME_UNKNOWN: Look = Look::Refuse(
+const OUTCOME_UNKNOWN: Disposition = Disposition::Refuse(
     ProblemKind::OutcomeUnknown,
     Ran::Unknown,
     "it was sent to the service, and no answer came back; ask the service whether it took effect",
 );
 
-const FINISHED: Look = Look::Refuse(
+const FINISHED: Disposition = Disposition::Refuse(
     ProblemKind::Finished,
     Ran::Yes,
     "it ran and was billed before; ask with a new key to have it run again",
