--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -44,7 +44,7 @@
 
 impl Core {
     /// Takes a caller's request.
-    pub(crate) fn arrive(&mut self, now: Instant, arrival: Arrival) {
+    pub(crate) fn handle_arrival(&mut self, now: Instant, arrival: Arrival) {
         self.retries.request(now);
         let id = arrival.id;
         match self.admit(now, &arrival) {
@@ -54,7 +54,7 @@
                     team = %request.team, pool = %request.pool, reserve = %request.reserve,
                 );
                 self.requests.insert(id, request);
-                self.enter(now, id);
+                self.check_limits(now, id);
             }
             Err(problem) => self.refuse_arrival(now, &arrival, *problem),
         }
@@ -70,18 +70,18 @@
         }
         let Some((account, spec)) = self.config.account_by_key(&arrival.bearer.0) else {
             let detail = "the bearer key is none that is in force";
-            return Err(unproved(ProblemKind::Unauthorized, detail));
+            return Err(new_problem(ProblemKind::Unauthorized, detail));
         };
         let labels = labels(&account, &spec.labels, arrival);
         let Some(route) = self.config.route(&labels) else {
             let detail = format!("no rule matches the labels {labels}");
-            return Err(unproved(ProblemKind::NoRoute, &detail));
+            return Err(new_problem(ProblemKind::NoRoute, &detail));
         };
-        self.request(now, account, route, arrival)
+        self.build_request(now, account, route, arrival)
     }
 
     /// Holds an admitted request against quarantine and its account's limit.
-    fn enter(&mut self, now: Instant, id: RequestId) {
+    fn check_limits(&mut self, now: Instant, id: RequestId) {
         let request = &self.requests[&id];
         if self.is_poison(id) {
             let detail = "endpoints failed over this request again and again";
@@ -94,7 +94,7 @@
         match self.enter_account(now, &request.account().clone()) {
             Ok(()) => {
                 self.requests[&id].entered = true;
-                self.go_in(now, id);
+                self.proceed(now, id);
             }
             Err(refusal) => {
                 let detail = refusal.to_string();
@@ -113,13 +113,13 @@
     }
 
     /// Returns who holds a claim that a request waits for, if it is another router.
-    pub(crate) fn claimant(&self, id: RequestId) -> Option<&str> {
+    pub(crate) fn claim_holder(&self, id: RequestId) -> Option<&str> {
         let key = self.ledger.key(&self.requests.get(&id)?.key)?;
         let router = key.claim.as_ref()?.router;
         self.ledger.router(router).map(|r| r.address.as_str())
     }
 
-    fn request(
+    fn build_request(
         &self,
         now: Instant,
         account: AccountId,
@@ -127,7 +127,7 @@
         arrival: &Arrival,
     ) -> Result<Request, Box<Problem>> {
         let Some(pool) = self.config.pool(&route.pool) else {
-            return Err(unproved(ProblemKind::NoRoute, "the rule's pool is gone"));
+            return Err(new_problem(ProblemKind::NoRoute, "the rule's pool is gone"));
         };
         let (reserve, limit, idempotent) = match (&arrival.work, &pool.kind) {
             (
@@ -142,7 +142,7 @@
                 if !models.contains(model) {
                     let detail =
                         format!("the pool {} does not serve the model {model}", route.pool);
-                    return Err(unproved(ProblemKind::NoRoute, &detail));
+                    return Err(new_problem(ProblemKind::NoRoute, &detail));
                 }
                 let limit = limit.unwrap_or(*max_tokens).min(*max_tokens);
                 (limit.saturating_add(Tokens(*prompt)), limit, true)
@@ -157,7 +157,7 @@
             ) => {
                 if service != name {
                     let detail = format!("the pool {} does not serve {service}", route.pool);
-                    return Err(unproved(ProblemKind::NoRoute, &detail));
+                    return Err(new_problem(ProblemKind::NoRoute, &detail));
                 }
                 let by_method = matches!(method.as_str(), "GET" | "HEAD" | "PUT" | "DELETE");
                 let repeat = repeatable.get(method).copied().unwrap_or(by_method);
@@ -165,7 +165,7 @@
             }
             _ => {
                 let detail = format!("the pool {} serves another kind of request", route.pool);
-                return Err(unproved(ProblemKind::NoRoute, &detail));
+                return Err(new_problem(ProblemKind::NoRoute, &detail));
             }
         };
         let Some(key) = &arrival.key else {
@@ -192,7 +192,7 @@
             },
             attempt: arrival.attempt,
             fingerprint: arrival.request,
-            seen: self.seen(),
+            seen: self.last_applied(),
             team: route.team,
             pool: route.pool,
             bearer,
@@ -215,7 +215,7 @@
     }
 
     /// Sends an admitted request on its way, by what is known of its key.
-    pub(crate) fn go_in(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn proceed(&mut self, now: Instant, id: RequestId) {
         match self.disposition(id) {
             Disposition::Run => {
                 if !self.requests[&id].idempotent && self.in_outage(now) {
@@ -304,19 +304,19 @@
                 .get(&id)
                 .is_some_and(|request| matches!(request.state, State::Contended));
             if waits {
-                self.go_in(now, id);
+                self.proceed(now, id);
             }
         }
     }
 
     /// Returns the last offset folded.
-    pub(crate) fn seen(&self) -> crate::ids::Offset {
+    pub(crate) fn last_applied(&self) -> crate::ids::Offset {
         crate::ids::Offset(self.ledger.next().0.saturating_sub(1))
     }
 
     pub(crate) fn not_serving(&mut self) -> Box<Problem> {
         let instead = self.other_address();
-        let problem = unproved(
+        let problem = new_problem(
             ProblemKind::NotServing,
             "this router is leaving or has just begun",
         );
@@ -327,7 +327,7 @@
     ///
     /// In a log outage bills wait for the log while their callers have their answers. Were those still in progress, an
     /// account would be refused after as many requests as it may have at once, until the log is back.
-    pub(crate) fn leave(&mut self, id: RequestId) {
+    pub(crate) fn leave_limit(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && std::mem::take(&mut request.entered)
         {
@@ -386,6 +386,6 @@
     labels
 }
 
-fn unproved(kind: ProblemKind, detail: &str) -> Box<Problem> {
+fn new_problem(kind: ProblemKind, detail: &str) -> Box<Problem> {
     Box::new(Problem::new(kind, Ran::Unknown, detail))
 }
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -158,7 +158,7 @@
                 if self.active.get(&key) == Some(&id) {
                     self.active.shift_remove(&key);
                 }
-                self.go_in(now, id);
+                self.proceed(now, id);
             }
         }
     }
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -292,7 +292,7 @@
     /// Takes one event and returns what is to be done about it.
     pub(crate) fn handle(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
-            Event::Arrived(arrival) => self.arrive(now, *arrival),
+            Event::Arrived(arrival) => self.handle_arrival(now, *arrival),
             Event::HungUp(id) => self.hung_up(now, id),
             Event::Started(id) => self.started(now, id),
             Event::Ended(id, end) => self.ended(now, id, end),
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -195,7 +195,7 @@
             };
             info!(event = "bill-kept", request = %id);
             self.effects.push(Effect::Release(id));
-            self.leave(id);
+            self.leave_limit(id);
         }
     }
 }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -84,7 +84,7 @@
             },
             attempt: arrival.attempt,
             fingerprint: arrival.request,
-            seen: self.seen(),
+            seen: self.last_applied(),
             team,
             pool,
             bearer: Bearer::Team,
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -415,7 +415,7 @@
     }
 
     fn refuse_contended(&mut self, now: Instant, id: RequestId) {
-        let at = self.claimant(id).map(str::to_owned);
+        let at = self.claim_holder(id).map(str::to_owned);
         let detail = "another attempt of the request is in progress";
         let problem = Problem::new(ProblemKind::InProgress, Ran::Unknown, detail);
         self.send_refusal(now, id, problem.retry_in(FAILED_RETRY).go_to(at));
