--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -97,7 +97,7 @@
                     priority,
                     since: now,
                 };
-                self.funds.wait(&team, waiting);
+                self.funds.push_waiting(&team, waiting);
             }
             Reserve::Kept => self.refuse_unfunded(now, id, Unfunded::Kept),
         }
@@ -105,7 +105,7 @@
 
     /// Sends on the requests that have their budget now, refuses those that can't have it, and asks the log for more.
     pub(crate) fn step_funds(&mut self, now: Instant) {
-        for (who, amount) in self.funds.funded(now) {
+        for (who, amount) in self.funds.fund_waiting(now) {
             match who {
                 Waiter::Request(id) => {
                     self.requests[&id].reservation = Reservation::Funded;
@@ -114,7 +114,7 @@
                 Waiter::Loan(ids, _) => self.answer_loans(ids, amount),
             }
         }
-        for (who, why) in self.funds.unfunded(now) {
+        for (who, why) in self.funds.take_unfunded(now) {
             match who {
                 Waiter::Request(id) => self.refuse_unfunded(now, id, why),
                 Waiter::Loan(ids, ask) => {
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -47,7 +47,7 @@
         me: Incarnation,
         team: &TeamId,
     ) -> Option<Effect> {
-        let missing = self.missing(now, team);
+        let missing = self.shortfall(now, team);
         if missing == Tokens::ZERO {
             return None;
         }
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -320,7 +320,7 @@
             State::Queued => self.unqueue(now, id),
             State::Funding { .. } if request.relay.is_some() => {
                 let team = request.team.clone();
-                self.funds.forget(&team, id);
+                self.funds.remove_waiting(&team, id);
             }
             State::Claiming { .. } => self.free_endpoint(now, id),
             _ => {}
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -14,7 +14,7 @@
 use crate::tokens::Tokens;
 
 /// How long a request waits for a grant: a read and a write at a log that takes a hundred milliseconds each.
-const WAIT: Duration = Duration::from_millis(400);
+const GRANT_WAIT: Duration = Duration::from_millis(400);
 
 /// How long another router's question for a loan waits: after a fifth of a second its sender has given up, and asks the next
 /// owner.
@@ -35,7 +35,7 @@
 
 impl Funds {
     /// Has a request wait for a grant.
-    pub(crate) fn wait(&mut self, team: &TeamId, waiting: Waiting) {
+    pub(crate) fn push_waiting(&mut self, team: &TeamId, waiting: Waiting) {
         if let Some(allowance) = self.allowances.get_mut(team) {
             allowance.waiting.push_back(waiting);
         }
@@ -43,7 +43,7 @@
 
     /// Reserves for those that wait and can be covered now, and returns them and what they get. A small one may pass a large
     /// one: the large one is refused if it can't be had, not the small one.
-    pub(crate) fn funded(&mut self, now: Instant) -> Vec<(Waiter, Tokens)> {
+    pub(crate) fn fund_waiting(&mut self, now: Instant) -> Vec<(Waiter, Tokens)> {
         let mut funded = Vec::new();
         for team in self.waiting_teams() {
             let available = self.available(now, &team);
@@ -85,18 +85,18 @@
 
     /// Returns what those that wait for a team's budget lack: what they may cost together, and what must stay open for more
     /// urgent ones, beyond what can be reserved now.
-    pub(super) fn missing(&self, now: Instant, team: &TeamId) -> Tokens {
+    pub(super) fn shortfall(&self, now: Instant, team: &TeamId) -> Tokens {
         let away = self.away.is_some();
         let allowance = &self.allowances[team];
         let waiting = allowance.waiting.iter();
-        let kept = waiting.map(|one| kept_open(away, now, &allowance.ration, one.priority));
+        let kept = waiting.map(|waiting| kept_open(away, now, &allowance.ration, waiting.priority));
         let kept = kept.max().unwrap_or_default();
         let wanted = allowance.own_wanted().saturating_add(kept);
         wanted.saturating_sub(self.available(now, team))
     }
 
     /// Returns the requests that can't have their budget, or not in time, and why.
-    pub(crate) fn unfunded(&mut self, now: Instant) -> Vec<(Waiter, Unfunded)> {
+    pub(crate) fn take_unfunded(&mut self, now: Instant) -> Vec<(Waiter, Unfunded)> {
         let mut unfunded = Vec::new();
         for team in self.waiting_teams() {
             let left = self.left(&team);
@@ -119,9 +119,9 @@
                     amount if asked && amount > left => Unfunded::Spent,
                     amount if asked && amount > reach => Unfunded::Held,
                     // What is held for it may be used within a moment.
-                    amount if amount <= held && now < waiting.since + WAIT => return true,
+                    amount if amount <= held && now < waiting.since + GRANT_WAIT => return true,
                     _ if away => Unfunded::Away,
-                    _ if now >= waiting.since + WAIT => Unfunded::Held,
+                    _ if now >= waiting.since + GRANT_WAIT => Unfunded::Held,
                     _ => return true,
                 };
                 unfunded.push((waiting.who.clone(), why));
@@ -132,10 +132,12 @@
     }
 
     /// Takes a request out of those that wait.
-    pub(crate) fn forget(&mut self, team: &TeamId, request: RequestId) {
+    pub(crate) fn remove_waiting(&mut self, team: &TeamId, request: RequestId) {
         if let Some(allowance) = self.allowances.get_mut(team) {
-            let is_it = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
-            allowance.waiting.retain(|waiting| !is_it(&waiting.who));
+            let is_request = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
+            allowance
+                .waiting
+                .retain(|waiting| !is_request(&waiting.who));
         }
     }
 
