--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -75,7 +75,7 @@
             self.share_cold(now);
         }
         if changed {
-            self.pump_all(now);
+            self.serve_all_queues(now);
         }
     }
 
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -186,7 +186,7 @@
         }
         self.share_cold(now);
         self.refuse_drained(now);
-        self.pump_all(now);
+        self.serve_all_queues(now);
     }
 
     /// Returns where an endpoint listens.
@@ -316,7 +316,7 @@
             }
         }
         let pool = request.pool.clone();
-        self.pump(now, &pool);
+        self.serve_queue(now, &pool);
     }
 
     /// Takes a request off its endpoint, which it never reached or whose run is of no more use.
@@ -345,7 +345,7 @@
                 pool.loaded.insert(vm.clone(), load.models.clone());
             }
         }
-        self.pump_all(now);
+        self.serve_all_queues(now);
     }
 
     /// Takes in an endpoint's news of its prefix cache.
@@ -363,7 +363,7 @@
     /// Refuses what waited too long, fills what has room, and asks endpoints how they are.
     pub(crate) fn tick_pools(&mut self, now: Instant) {
         self.expire_queues(now);
-        self.pump_all(now);
+        self.serve_all_queues(now);
         let mut probes = Vec::new();
         for pool in self.pools.values_mut().filter(|pool| pool.engines) {
             if pool.probed.is_none_or(|at| now >= at + PROBE) {
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -39,7 +39,7 @@
         match pool.queue.push(now, id, ticket) {
             Ok(place) => {
                 pool.places.insert(id, place);
-                self.pump(now, &name);
+                self.serve_queue(now, &name);
             }
             Err(full) => {
                 let detail = full.to_string();
@@ -50,7 +50,7 @@
     }
 
     /// Takes a request out of the queue.
-    pub(crate) fn unqueue(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn cancel_queued(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -63,17 +63,17 @@
     }
 
     /// Sends waiting requests on while endpoints have room.
-    pub(crate) fn pump(&mut self, now: Instant, name: &PoolId) {
+    pub(crate) fn serve_queue(&mut self, now: Instant, name: &PoolId) {
         while let Some((id, choice)) = self.next_with_room(now, name) {
             self.enter_endpoint(now, id, &choice);
             self.claim(now, id, choice.endpoint);
         }
     }
 
-    pub(crate) fn pump_all(&mut self, now: Instant) {
+    pub(crate) fn serve_all_queues(&mut self, now: Instant) {
         let names: Vec<_> = self.pools.keys().cloned().collect();
         for name in names {
-            self.pump(now, &name);
+            self.serve_queue(now, &name);
         }
     }
 
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -317,7 +317,7 @@
             return;
         };
         match request.state {
-            State::Queued => self.unqueue(now, id),
+            State::Queued => self.cancel_queued(now, id),
             State::Funding { .. } if request.relay.is_some() => {
                 let team = request.team.clone();
                 self.funds.remove_waiting(&team, id);
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -241,7 +241,7 @@
             State::Contended => {}
             State::Funding { .. } => self.fund(now, id),
             State::Queued => {
-                self.unqueue(now, id);
+                self.cancel_queued(now, id);
                 self.fund(now, id);
             }
             State::Claiming { .. } if !request.dispatched => {
