--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -49,7 +49,7 @@
         request.state = State::Claiming { endpoint };
         self.appender.push(record, Ticket::Claim(id));
         if outage {
-            self.expire_unclaimed(now, id);
+            self.refuse_unclaimable(now, id);
         }
     }
 
@@ -58,7 +58,7 @@
     /// In a log outage a router serves from its holdings. The request may be run by another router as well, should its
     /// caller go there, and is then billed by one of them alone; for a request that may be repeated that is harm
     /// enough to bear, for another it is not.
-    pub(crate) fn claim_kept(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn run_kept_claim(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -72,7 +72,7 @@
     }
 
     /// Refuses a request whose claim the log does not take and others can't keep.
-    pub(crate) fn expire_unclaimed(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn refuse_unclaimable(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -85,7 +85,7 @@
     }
 
     /// Takes the fold's word on a claim.
-    pub(crate) fn claim_verdict(&mut self, now: Instant, id: RequestId, verdict: Verdict) {
+    pub(crate) fn apply_claim_verdict(&mut self, now: Instant, id: RequestId, verdict: Verdict) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -95,7 +95,7 @@
         match verdict {
             Verdict::Accepted => {
                 request.reservation = Reservation::Claimed;
-                self.claimed(now, id);
+                self.claim_accepted(now, id);
             }
             Verdict::Granted(_) => {}
             Verdict::Void(void) => {
@@ -105,7 +105,7 @@
         }
     }
 
-    fn claimed(&mut self, now: Instant, id: RequestId) {
+    fn claim_accepted(&mut self, now: Instant, id: RequestId) {
         let request = &self.requests[&id];
         match &request.state {
             State::Claiming { endpoint } => {
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -139,7 +139,7 @@
             }
         }
         for id in claimed {
-            self.claim_kept(now, id);
+            self.run_kept_claim(now, id);
         }
         let mut kept = self.outage.kept.iter();
         let apart = kept.any(|(vm, extent)| *extent >= covered && self.may_keep(vm));
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -84,7 +84,7 @@
     }
 
     /// Changes a refusal of a request without a key that may have run: its status must not promise that it did not.
-    fn keep_promises(&self, id: RequestId, problem: Problem) -> Problem {
+    fn correct_status(&self, id: RequestId, problem: Problem) -> Problem {
         let keyless = self
             .requests
             .get(&id)
@@ -111,7 +111,7 @@
                 _ => Proof::None,
             };
         }
-        let elsewhere = self
+        let other_active = self
             .active
             .get(&request.key)
             .is_some_and(|other| *other != id);
@@ -122,8 +122,9 @@
         }
         // A claim on its way may still be accepted, though this router will not act on it; another attempt's router
         // may have acted on that attempt's.
-        let claiming = request.reservation == Reservation::Pending && request.attempt != Attempt(1);
-        if request.dispatched || elsewhere || claiming {
+        let claim_pending =
+            request.reservation == Reservation::Pending && request.attempt != Attempt(1);
+        if request.dispatched || other_active || claim_pending {
             return Proof::None;
         }
         let known = self.ledger.key(&request.key);
@@ -146,8 +147,9 @@
         }
         // A router that is cut off from the log may run what its peers alone know to be claimed; where one keeper is
         // enough for that, it need not be this router.
-        let lone = self.tuning.lean == Lean::Available || self.members.keeps_claim(&request.key);
-        if lone {
+        let unseen_claim =
+            self.tuning.lean == Lean::Available || self.members.keeps_claim(&request.key);
+        if unseen_claim {
             return Proof::None;
         }
         match !self.in_outage(now) && self.serving() && self.proofs.take(now) {
@@ -157,7 +159,7 @@
     }
 
     /// Takes the verdict of the record that was to prove a refusal.
-    pub(crate) fn proof_verdict(&mut self, now: Instant, id: RequestId, verdict: &Verdict) {
+    pub(crate) fn apply_proof_verdict(&mut self, now: Instant, id: RequestId, verdict: &Verdict) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -167,11 +169,11 @@
             return;
         };
         let mut problem = problem.as_ref().clone();
-        let unrun = self
+        let not_run = self
             .ledger
             .key(&request.key)
             .is_some_and(|key| key.is_unrun());
-        problem.ran = match *verdict == Verdict::Accepted && unrun {
+        problem.ran = match *verdict == Verdict::Accepted && not_run {
             true => Ran::No,
             false => Ran::Unknown,
         };
@@ -179,7 +181,7 @@
     }
 
     /// Sends a refusal whose proof will not come.
-    pub(crate) fn give_up_proof(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn abandon_proof(&mut self, now: Instant, id: RequestId) {
         if let Some(request) = self.requests.get(&id)
             && let State::Proving { problem } = &request.state
         {
@@ -190,7 +192,7 @@
 
     /// Sends a refusal as it stands; what the ledger still has of the request is brought to its end behind it.
     pub(crate) fn send_refusal(&mut self, now: Instant, id: RequestId, problem: Problem) {
-        let problem = self.keep_promises(id, problem);
+        let problem = self.correct_status(id, problem);
         info!(event = "refused", request = %id, kind = %problem.kind, ran = %problem.ran);
         self.effects.push(Effect::Refuse(id, Box::new(problem)));
         self.abandon(now, id);
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -408,8 +408,8 @@
                 let detail = "the log service did not take the claim in time";
                 self.refuse(now, id, ProblemKind::LogOutage, detail);
             }
-            State::Claiming { .. } => self.expire_unclaimed(now, id),
-            State::Proving { .. } => self.give_up_proof(now, id),
+            State::Claiming { .. } => self.refuse_unclaimable(now, id),
+            State::Proving { .. } => self.abandon_proof(now, id),
             _ => {}
         }
     }
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -79,8 +79,8 @@
     fn verdict(&mut self, now: Instant, ticket: Ticket, verdict: Verdict) {
         match ticket {
             Ticket::Open => self.opened(now, &verdict),
-            Ticket::Claim(id) => self.claim_verdict(now, id, verdict),
-            Ticket::Release(id) | Ticket::Refuse(id) => self.proof_verdict(now, id, &verdict),
+            Ticket::Claim(id) => self.apply_claim_verdict(now, id, verdict),
+            Ticket::Release(id) | Ticket::Refuse(id) => self.apply_proof_verdict(now, id, &verdict),
             Ticket::Bill {
                 request,
                 team,
@@ -251,7 +251,7 @@
             State::Claiming { .. } | State::Running { .. } | State::Billing { .. } => {
                 self.lose(now, id);
             }
-            State::Proving { .. } => self.give_up_proof(now, id),
+            State::Proving { .. } => self.abandon_proof(now, id),
             State::Abandoned => self.finish(now, id),
         }
     }
