--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -99,7 +99,7 @@
             Err(refusal) => {
                 let detail = refusal.to_string();
                 let problem = Problem::new(ProblemKind::RateLimited, Ran::Unknown, &detail);
-                self.refuse_with(now, id, problem.retry_in(refusal.retry_after()));
+                self.refuse_with(now, id, problem.with_retry(refusal.retry_after()));
             }
         }
     }
@@ -320,7 +320,7 @@
             ProblemKind::NotServing,
             "this router is leaving or has just begun",
         );
-        Box::new(problem.go_to(instead).retry_in(NOT_SERVING_RETRY))
+        Box::new(problem.with_instead(instead).with_retry(NOT_SERVING_RETRY))
     }
 
     /// Counts a request no more against its account's limit.
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -80,7 +80,11 @@
             let detail = "the log service can't be reached from here";
             let instead = self.other_address();
             let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
-            self.refuse_with(now, id, problem.retry_in(OUTAGE_RETRY).go_to(instead));
+            self.refuse_with(
+                now,
+                id,
+                problem.with_retry(OUTAGE_RETRY).with_instead(instead),
+            );
         }
     }
 
--- a/src/router/drained.rs
+++ b/src/router/drained.rs
@@ -92,6 +92,6 @@
     pub(crate) fn refuse_for_drain(&mut self, now: Instant, id: RequestId) {
         let detail = "the failure domains of all its endpoints are drained";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-        self.refuse_with(now, id, problem.retry_in(RETRY));
+        self.refuse_with(now, id, problem.with_retry(RETRY));
     }
 }
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -192,7 +192,7 @@
         );
         let retry = if hopeless { SPENT_RETRY } else { HELD_RETRY };
         let problem = Problem::new(ProblemKind::BudgetSpent, Ran::Unknown, &detail);
-        self.refuse_with(now, id, problem.retry_in(retry));
+        self.refuse_with(now, id, problem.with_retry(retry));
     }
 
     /// Draws or returns what the policy says.
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -187,18 +187,18 @@
             }
             Unfunded::Held => {
                 let detail = format!("other routers hold what is left of the budget of {team}");
-                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
+                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).with_retry(retry)
             }
             Unfunded::Kept => {
                 let detail = format!(
                     "what is left of the budget of {team} is kept for more urgent requests"
                 );
-                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
+                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).with_retry(retry)
             }
             Unfunded::Away => {
                 let detail =
                     "the log can't be reached, and this router holds too little of the budget";
-                Problem::new(ProblemKind::LogOutage, Ran::No, detail).retry_in(retry)
+                Problem::new(ProblemKind::LogOutage, Ran::No, detail).with_retry(retry)
             }
         };
         self.refuse_with(now, id, problem);
--- a/src/router/problem.rs
+++ b/src/router/problem.rs
@@ -79,7 +79,7 @@
 
 impl ProblemKind {
     /// Returns the HTTP status, the name in the problem's `type`, and the title.
-    fn row(self) -> (u16, &'static str, &'static str) {
+    fn definition(self) -> (u16, &'static str, &'static str) {
         match self {
             Self::Malformed => (400, "malformed", "The request cannot be read"),
             Self::TooLarge => (413, "too-large", "The request is too large"),
@@ -105,12 +105,12 @@
 
     /// Returns the HTTP status.
     pub fn status(self) -> u16 {
-        self.row().0
+        self.definition().0
     }
 
     /// Returns the name in the problem's `type`.
     pub fn name(self) -> &'static str {
-        self.row().1
+        self.definition().1
     }
 }
 
@@ -148,7 +148,7 @@
     }
 
     /// Adds when to come back.
-    pub fn retry_in(self, after: Duration) -> Self {
+    pub fn with_retry(self, after: Duration) -> Self {
         Self {
             retry: Some(after),
             ..self
@@ -156,7 +156,7 @@
     }
 
     /// Adds where to go instead.
-    pub fn go_to(self, address: Option<String>) -> Self {
+    pub fn with_instead(self, address: Option<String>) -> Self {
         Self {
             instead: address,
             ..self
@@ -172,7 +172,7 @@
 
     /// Returns the body, `application/problem+json`.
     pub fn to_json(&self) -> Value {
-        let (status, name, title) = self.kind.row();
+        let (status, name, title) = self.kind.definition();
         let mut body = json!({
             "type": format!("urn:jasmineridge:problem:{name}"),
             "title": title,
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -44,7 +44,7 @@
             Err(full) => {
                 let detail = full.to_string();
                 let problem = Problem::new(ProblemKind::Overloaded, Ran::Unknown, &detail);
-                self.refuse_with(now, id, problem.retry_in(full.retry_after()));
+                self.refuse_with(now, id, problem.with_retry(full.retry_after()));
             }
         }
     }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -171,7 +171,7 @@
                 }
                 let detail = "no endpoint took the request";
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-                self.refuse_with(now, id, problem.retry_in(retry.unwrap_or(FAILED_RETRY)));
+                self.refuse_with(now, id, problem.with_retry(retry.unwrap_or(FAILED_RETRY)));
             }
             RunEnd::Broken { begun, .. } => {
                 let again = match repeat {
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -183,7 +183,7 @@
         }
         let detail = "no endpoint took the request";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-        let problem = problem.retry_in(retry.unwrap_or(FAILED_RETRY));
+        let problem = problem.with_retry(retry.unwrap_or(FAILED_RETRY));
         self.refuse_with(now, id, problem);
     }
 
@@ -237,7 +237,7 @@
 
     fn cut(&mut self, id: RequestId, detail: &str) {
         let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
-        let problem = problem.retry_in(FAILED_RETRY);
+        let problem = problem.with_retry(FAILED_RETRY);
         self.effects.push(Effect::Cut(id, Box::new(problem)));
     }
 
@@ -402,7 +402,11 @@
                 let detail = "the log service can't be reached, and this router holds too little of the budget";
                 let instead = self.other_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
-                self.refuse_with(now, id, problem.retry_in(OUTAGE_RETRY).go_to(instead));
+                self.refuse_with(
+                    now,
+                    id,
+                    problem.with_retry(OUTAGE_RETRY).with_instead(instead),
+                );
             }
             State::Claiming { .. } if past => {
                 let detail = "the log service did not take the claim in time";
@@ -418,6 +422,6 @@
         let at = self.claim_holder(id).map(str::to_owned);
         let detail = "another attempt of the request is in progress";
         let problem = Problem::new(ProblemKind::InProgress, Ran::Unknown, detail);
-        self.send_refusal(now, id, problem.retry_in(FAILED_RETRY).go_to(at));
+        self.send_refusal(now, id, problem.with_retry(FAILED_RETRY).with_instead(at));
     }
 }
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -177,6 +177,6 @@
             "this router may not have the newest configuration yet",
         );
         let instead = self.other_address();
-        Box::new(problem.go_to(instead).retry_in(RETRY))
+        Box::new(problem.with_instead(instead).with_retry(RETRY))
     }
 }
