--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -1,4 +1,4 @@
-//! A request's way in: who asks, who pays, where it goes, and whether the ledger knows it already.
+//! Admission of requests: identifies the account, selects the team that pays and the pool, and looks up the key.
 
 use std::time::Instant;
 
@@ -30,20 +30,20 @@
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
-/// What the ledger and this router's own desk say of a request that arrived.
+/// What to do with a request, by the state of its key in the ledger and among this router's requests in progress.
 pub(crate) enum Disposition {
-    /// Nothing stands against it.
+    /// Nothing prevents it from running.
     Run,
     /// Another attempt is in progress.
     Wait,
-    /// It ran, and its answer is kept.
+    /// It ran, and its answer is stored.
     Replay(Replay),
     /// It can't run.
     Refuse(ProblemKind, Ran, &'static str),
 }
 
 impl Core {
-    /// Takes a caller's request.
+    /// Handles a caller's request.
     pub(crate) fn handle_arrival(&mut self, now: Instant, arrival: Arrival) {
         self.retries.request(now);
         let id = arrival.id;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Decides on a request by what its caller says and the configuration.
+    /// Admits or rejects a request by its bearer key, its labels and the configuration.
     fn admit(&mut self, now: Instant, arrival: &Arrival) -> Result<Request, Box<Problem>> {
         if let Work::Relay(relay) = &arrival.work {
             return self.admit_relay(now, arrival, relay);
@@ -69,7 +69,7 @@
             return Err(self.not_serving());
         }
         let Some((account, spec)) = self.config.account_by_key(&arrival.bearer.0) else {
-            let detail = "the bearer key is none that is in force";
+            let detail = "the bearer key is not in the configuration in force";
             return Err(new_problem(ProblemKind::Unauthorized, detail));
         };
         let labels = labels(&account, &spec.labels, arrival);
@@ -80,11 +80,11 @@
         self.build_request(now, account, route, arrival)
     }
 
-    /// Holds an admitted request against quarantine and its account's limit.
+    /// Checks an admitted request against quarantine and its account's limit.
     fn check_limits(&mut self, now: Instant, id: RequestId) {
         let request = &self.requests[&id];
         if self.is_poison(id) {
-            let detail = "endpoints failed over this request again and again";
+            let detail = "endpoints failed repeatedly while running this request";
             self.refuse(now, id, ProblemKind::Quarantined, detail);
             return;
         }
@@ -112,7 +112,7 @@
             .try_enter(now)
     }
 
-    /// Returns who holds a claim that a request waits for, if it is another router.
+    /// Returns the address of the router that holds the claim on a request's key, if there is one.
     pub(crate) fn claim_holder(&self, id: RequestId) -> Option<&str> {
         let key = self.ledger.key(&self.requests.get(&id)?.key)?;
         let router = key.claim.as_ref()?.router;
@@ -127,7 +127,10 @@
         arrival: &Arrival,
     ) -> Result<Request, Box<Problem>> {
         let Some(pool) = self.config.pool(&route.pool) else {
-            return Err(new_problem(ProblemKind::NoRoute, "the rule's pool is gone"));
+            return Err(new_problem(
+                ProblemKind::NoRoute,
+                "the rule's pool no longer exists",
+            ));
         };
         let (reserve, limit, idempotent) = match (&arrival.work, &pool.kind) {
             (
@@ -214,12 +217,13 @@
         })
     }
 
-    /// Sends an admitted request on its way, by what is known of its key.
+    /// Starts an admitted request, has it wait for another attempt, replays its answer or refuses it, by what is known
+    /// of its key.
     pub(crate) fn proceed(&mut self, now: Instant, id: RequestId) {
         match self.disposition(id) {
             Disposition::Run => {
                 if !self.requests[&id].idempotent && self.in_outage(now) {
-                    // Without the log nobody can tell whether another router runs it as well.
+                    // Without the log it can't be ruled out that another router runs it as well.
                     let detail = "the log service does not answer, and without it a call that may not be repeated \
                                   cannot be claimed";
                     self.refuse(now, id, ProblemKind::LogOutage, detail);
@@ -243,10 +247,10 @@
         }
     }
 
-    /// Looks up what is known of a request's key.
+    /// Returns what to do with a request, by what is known of its key.
     ///
-    /// What it finds may be old; the claim's verdict decides. Looking first spares the log a claim that is sure to be
-    /// void, and lets a retry wait for the attempt before it.
+    /// The state seen here may be out of date; the claim's verdict decides. Checking first avoids appending a claim
+    /// that is certain to be void, and lets a retry wait for the attempt before it.
     pub(crate) fn disposition(&self, id: RequestId) -> Disposition {
         let request = &self.requests[&id];
         if let Some(other) = self.active.get(&request.key)
@@ -296,7 +300,7 @@
         }
     }
 
-    /// Looks again at the requests that wait for another attempt's end.
+    /// Checks again the requests that wait for another attempt to end.
     pub(crate) fn recheck_contended(&mut self, now: Instant) {
         for id in std::mem::take(&mut self.contended) {
             let waits = self
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Returns the last offset folded.
+    /// Returns the offset of the last ledger record applied.
     pub(crate) fn last_applied(&self) -> crate::ids::Offset {
         crate::ids::Offset(self.ledger.next().0.saturating_sub(1))
     }
@@ -318,15 +322,16 @@
         let instead = self.other_address();
         let problem = new_problem(
             ProblemKind::NotServing,
-            "this router is leaving or has just begun",
+            "this router is shutting down or still starting",
         );
         Box::new(problem.with_instead(instead).with_retry(NOT_SERVING_RETRY))
     }
 
-    /// Counts a request no more against its account's limit.
+    /// Stops counting a request against its account's limit.
     ///
-    /// In a log outage bills wait for the log while their callers have their answers. Were those still in progress, an
-    /// account would be refused after as many requests as it may have at once, until the log is back.
+    /// During a log outage, bills wait for the log although their callers already have their answers. If these requests
+    /// still counted as in progress, an account that reaches its concurrency limit would be refused until the log is
+    /// back.
     pub(crate) fn leave_limit(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && std::mem::take(&mut request.entered)
@@ -336,7 +341,7 @@
         }
     }
 
-    /// Makes sure that an account's entry is given back.
+    /// Stops counting one request against an account's limit.
     pub(crate) fn leave_account(&mut self, account: &AccountId) {
         if let Entry::Occupied(mut limit) = self.accounts.entry(account.clone()) {
             limit.get_mut().leave();
@@ -344,7 +349,8 @@
     }
 }
 
-/// How soon a caller of a router that does not serve may try another: at once, but for a spread.
+/// Retry delay for callers of a router that does not serve. They may try another one at once; the delay only spreads
+/// the retries.
 const NOT_SERVING_RETRY: std::time::Duration = std::time::Duration::from_millis(100);
 
 const OTHER_REQUEST: Disposition = Disposition::Refuse(
@@ -356,16 +362,16 @@
 const OUTCOME_UNKNOWN: Disposition = Disposition::Refuse(
     ProblemKind::OutcomeUnknown,
     Ran::Unknown,
-    "it was sent to the service, and no answer came back; ask the service whether it took effect",
+    "the request was sent to the service, but no answer came back; ask the service whether it took effect",
 );
 
 const FINISHED: Disposition = Disposition::Refuse(
     ProblemKind::Finished,
     Ran::Yes,
-    "it ran and was billed before; ask with a new key to have it run again",
+    "the request already ran and was billed; send it with a new key to run it again",
 );
 
-/// Gathers the labels that rules select by. What the account attaches goes before what the caller says.
+/// Collects the labels that rules match on. The account's labels override those that the caller sends.
 fn labels(account: &AccountId, attached: &Labels, arrival: &Arrival) -> Labels {
     let mut labels = arrival.labels.clone();
     for (name, value) in &attached.0 {
@@ -386,6 +392,7 @@
     labels
 }
 
+/// Makes a problem that leaves open whether the request ran.
 fn new_problem(kind: ProblemKind, detail: &str) -> Box<Problem> {
     Box::new(Problem::new(kind, Ran::Unknown, detail))
 }
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: taking a request for this router before anything is sent to an endpoint.
+//! Claims, which assign a request to this router before anything is sent to an endpoint.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,7 +20,7 @@
 use crate::router::request::Reservation;
 use crate::router::request::State;
 
-/// When a caller may come back to a router that is cut off from the log.
+/// Retry delay for callers of a router that is cut off from the log.
 pub(crate) const OUTAGE_RETRY: Duration = Duration::from_secs(2);
 
 impl Core {
@@ -30,7 +30,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        // No other router has a request without a key, so that there is nobody to claim it from.
+        // A request without a key exists only at this router, so no claim is needed.
         if request.relay.is_some() {
             return self.dispatch(now, id, endpoint);
         }
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Runs a request whose claim the log does not take, once others keep the claim.
+    /// Runs a request whose claim the log does not accept, once other routers hold a copy of the claim.
     ///
-    /// In a log outage a router serves from its holdings. The request may be run by another router as well, should its
-    /// caller go there, and is then billed by one of them alone; for a request that may be repeated that is harm
-    /// enough to bear, for another it is not.
+    /// During a log outage a router serves from its holdings. If the caller retries at another router, that router may
+    /// run the request as well, and only one of the two bills it. This is acceptable for an idempotent request, but not
+    /// for any other.
     pub(crate) fn run_kept_claim(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Refuses a request whose claim the log does not take and others can't keep.
+    /// Refuses a request whose claim the log does not accept, unless it may run on other routers' copies of the claim.
     pub(crate) fn refuse_unclaimable(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         if !(request.idempotent && self.may_run_unclaimed(now)) {
-            let detail = "the log service can't be reached from here";
+            let detail = "this router can't reach the log service";
             let instead = self.other_address();
             let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
             self.refuse_with(
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes the fold's word on a claim.
+    /// Applies the ledger's verdict on a claim.
     pub(crate) fn apply_claim_verdict(&mut self, now: Instant, id: RequestId, verdict: Verdict) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -117,12 +117,12 @@
                 self.dispatch(now, id, endpoint);
             }
             State::Abandoned => self.release_claim(id),
-            // It runs already, or its bill follows: the claim came late, after a log outage.
+            // It already runs or is being billed: the claim reached the log late, after an outage.
             _ => {}
         }
     }
 
-    /// Gives up a claim whose request was never dispatched.
+    /// Releases the claim of a request that was never dispatched.
     pub(crate) fn release_claim(&mut self, id: RequestId) {
         let key = self.requests[&id].key.clone();
         let record = Record::Release { key };
@@ -135,7 +135,7 @@
         match &request.state {
             State::Claiming { .. } => self.claim_lost(now, id, void),
             State::Running { .. } => {
-                // Run beside its claim in a log outage, and another router had it first: this run can't be billed.
+                // It was run during a log outage, and another router's claim came first: this run can't be billed.
                 warn!(event = "run-unbillable", request = %id);
                 self.lose(now, id);
             }
@@ -149,15 +149,15 @@
         match void {
             Void::Holding => self.fund(now, id),
             Void::Refused => {
-                let detail = "an earlier refusal of this request reached the ledger first";
+                let detail = "the ledger already has a refusal of this request";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
             Void::Closed | Void::Sequence => {
-                let detail = "this router was taken for dead by the others";
+                let detail = "the other routers declared this router dead";
                 self.refuse(now, id, ProblemKind::NotServing, detail);
             }
             _ => {
-                // The ledger knows the key now: it waits for the other attempt, or is told what became of it.
+                // The ledger has the key now: the request waits for the other attempt, or gets its outcome.
                 let key = self.requests[&id].key.clone();
                 if self.active.get(&key) == Some(&id) {
                     self.active.shift_remove(&key);
--- a/src/router/problem.rs
+++ b/src/router/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals, as RFC 9457 problems.
+//! Refusals, as RFC 9457 problem details.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// What a refusal says of the request under its key, not of the attempt alone.
+/// What a refusal states about all attempts with the request's key, not about one attempt alone.
 ///
-/// A router that said "no" of the retry of a request that another router ran would have the caller send it once more
-/// under a new key, and so have it run twice. "No" is therefore said only where it is proved.
+/// If a router answered "no" to the retry of a request that another router ran, the caller would send it once more
+/// under a new key, and it would run twice. "No" is therefore stated only where it is proved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// It was not run, and no attempt from before this answer will run it.
+    /// It was not run, and no attempt made before this answer will run it.
     No,
-    /// Nobody can tell yet; the same key, sent again, finds out.
+    /// It is not known yet; sending the same key again finds out.
     Unknown,
-    /// It was run, and its answer is not kept.
+    /// It was run, and its answer is not stored.
     Yes,
 }
 
@@ -43,35 +43,35 @@
     TooLarge,
     /// No client account has this bearer key.
     Unauthorized,
-    /// There is no such path, model or service, or no rule says who pays.
+    /// There is no such path, model or service, or no rule selects a team that pays.
     NoRoute,
-    /// The key stands for another request.
+    /// The key was used for another request.
     OtherRequest,
-    /// The client account asks more often than it may.
+    /// The client account exceeds its limits.
     RateLimited,
     /// The queue is full, or the wait would outlast the deadline.
     Overloaded,
     /// The team's budget does not cover the request.
     BudgetSpent,
-    /// The budget may cover the request, but this router can't have what is left of it now.
+    /// The budget may cover the request, but this router can't obtain the rest of it now.
     BudgetHeld,
     /// No endpoint could take the request.
     NoEndpoint,
-    /// Endpoints keep dying of this request.
+    /// Endpoints failed repeatedly while running this request.
     Quarantined,
-    /// This router is leaving, or has not joined yet.
+    /// This router is shutting down, or still starting.
     NotServing,
-    /// The configuration in force here does not allow the request, and a newer one may.
+    /// The configuration in force here does not allow the request, but a newer one may.
     ConfigBehind,
     /// The log service does not answer, and this request needs it.
     LogOutage,
     /// Another attempt of the request is in progress.
     InProgress,
-    /// The request may not run twice, and nobody knows whether it ran.
+    /// The request may not run twice, and it is not known whether it ran.
     OutcomeUnknown,
-    /// The request ran before, and its answer is not kept.
+    /// The request already ran, and its answer is not stored.
     Finished,
-    /// The endpoint failed while it ran the request.
+    /// The endpoint failed while running the request.
     EndpointFailed,
     /// The request took longer than its deadline.
     Deadline,
@@ -85,19 +85,23 @@
             Self::TooLarge => (413, "too-large", "The request is too large"),
             Self::Unauthorized => (401, "unauthorized", "No client account has this key"),
             Self::NoRoute => (404, "no-route", "Nothing serves this request"),
-            Self::OtherRequest => (422, "other-request", "The key stands for another request"),
-            Self::RateLimited => (429, "rate-limited", "The client account asks too often"),
+            Self::OtherRequest => (422, "other-request", "The key was used for another request"),
+            Self::RateLimited => (429, "rate-limited", "The client account exceeds its limits"),
             Self::Overloaded => (503, "overloaded", "All endpoints are busy"),
             Self::BudgetSpent => (402, "budget-spent", "The team's budget is spent"),
-            Self::BudgetHeld => (503, "budget-held", "The team's budget lies elsewhere"),
+            Self::BudgetHeld => (
+                503,
+                "budget-held",
+                "The team's budget is not available here",
+            ),
             Self::NoEndpoint => (503, "no-endpoint", "No endpoint can take the request"),
-            Self::Quarantined => (422, "quarantined", "Endpoints fail over this request"),
+            Self::Quarantined => (422, "quarantined", "Endpoints fail on this request"),
             Self::NotServing => (503, "not-serving", "This router takes no new requests"),
-            Self::ConfigBehind => (503, "config-behind", "The configuration may be old"),
+            Self::ConfigBehind => (503, "config-behind", "The configuration may be out of date"),
             Self::LogOutage => (503, "log-outage", "The log service does not answer"),
             Self::InProgress => (409, "in-progress", "The request is in progress"),
-            Self::OutcomeUnknown => (409, "outcome-unknown", "Nobody knows whether it ran"),
-            Self::Finished => (409, "finished", "The request ran before"),
+            Self::OutcomeUnknown => (409, "outcome-unknown", "It is not known whether it ran"),
+            Self::Finished => (409, "finished", "The request already ran"),
             Self::EndpointFailed => (502, "endpoint-failed", "The endpoint failed"),
             Self::Deadline => (504, "deadline", "The request took too long"),
         }
@@ -123,15 +127,15 @@
 /// A refusal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Why.
+    /// Why the request is refused.
     pub kind: ProblemKind,
-    /// The particulars, for people.
+    /// A human-readable explanation.
     pub detail: String,
     /// Whether the request was run.
     pub ran: Ran,
-    /// When to come back.
+    /// How long to wait before a retry.
     pub retry: Option<Duration>,
-    /// Which router to go to instead, `ip:port`.
+    /// Which router to use instead, `ip:port`.
     pub instead: Option<String>,
 }
 
@@ -147,7 +151,7 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the retry delay.
     pub fn with_retry(self, after: Duration) -> Self {
         Self {
             retry: Some(after),
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Adds where to go instead.
+    /// Sets the router to use instead.
     pub fn with_instead(self, address: Option<String>) -> Self {
         Self {
             instead: address,
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -1,4 +1,4 @@
-//! The wait for an endpoint.
+//! Queues of requests that wait for an endpoint.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use crate::router::request::State;
 
 impl Core {
-    /// Has a funded request wait for an endpoint.
+    /// Queues a funded request for an endpoint.
     pub(crate) fn enqueue(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -33,7 +33,12 @@
             return self.refuse_for_drain(now, id);
         }
         let Some(pool) = self.pools.get_mut(&name) else {
-            self.refuse(now, id, ProblemKind::NoRoute, "the rule's pool is gone");
+            self.refuse(
+                now,
+                id,
+                ProblemKind::NoRoute,
+                "the rule's pool no longer exists",
+            );
             return;
         };
         match pool.queue.push(now, id, ticket) {
@@ -49,7 +54,7 @@
         }
     }
 
-    /// Takes a request out of the queue.
+    /// Removes a request from its pool's queue.
     pub(crate) fn cancel_queued(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -62,7 +67,7 @@
         }
     }
 
-    /// Sends waiting requests on while endpoints have room.
+    /// Claims a pool's queued requests while endpoints have room for them.
     pub(crate) fn serve_queue(&mut self, now: Instant, name: &PoolId) {
         while let Some((id, choice)) = self.next_with_room(now, name) {
             self.enter_endpoint(now, id, &choice);
@@ -77,7 +82,7 @@
         }
     }
 
-    /// Refuses what the queues gave up on.
+    /// Refuses queued requests that waited past their deadline.
     pub(crate) fn expire_queues(&mut self, now: Instant) {
         let mut expired = Vec::new();
         for pool in self.pools.values_mut() {
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals, and the proof that a refused request was not run.
+//! Refusals, and proofs that a refused request was not run.
 
 use std::time::Instant;
 
@@ -19,22 +19,22 @@
 use crate::router::request::Reservation;
 use crate::router::request::State;
 
-/// How it can be known that a request was not run.
+/// How it can be established that a request was not run.
 enum Proof {
-    /// It is known.
+    /// It is known already.
     Known,
-    /// The ledger can settle it.
+    /// A record in the ledger can prove it.
     Record,
-    /// It can't be.
+    /// It can't be proved.
     None,
 }
 
 impl Core {
     /// Refuses a request that was not admitted.
     ///
-    /// Without an account there is no key to look up; only the caller's own word that it never tried before proves that
-    /// it was not run. That word is old where the request lay in a socket while the process was stopped: its caller may
-    /// have gone on to another router, which ran it.
+    /// Without an account there is no key to look up, so only the attempt number 1 proves that it was not run. The
+    /// number is out of date if the request lay in a socket buffer while the process was stopped: the caller may have
+    /// gone on to another router, which ran it.
     pub(crate) fn refuse_arrival(&mut self, now: Instant, arrival: &Arrival, problem: Problem) {
         let ran = match arrival.attempt {
             Attempt(1) if !self.is_stale(now) => Ran::No,
@@ -51,7 +51,7 @@
         self.refuse_with(now, id, Problem::new(kind, Ran::Unknown, detail));
     }
 
-    /// Refuses a request, saying that it was not run if that can be proved.
+    /// Refuses a request, and states that it was not run if that can be proved.
     pub(crate) fn refuse_with(&mut self, now: Instant, id: RequestId, problem: Problem) {
         self.withdraw(now, id);
         match self.proof(now, id) {
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Changes a refusal of a request without a key that may have run: its status must not promise that it did not.
+    /// Replaces the kind of a refusal whose status would promise that a request was not run, if the request has no key
+    /// and may have run.
     fn correct_status(&self, id: RequestId, problem: Problem) -> Problem {
         let keyless = self
             .requests
@@ -115,13 +116,13 @@
             .active
             .get(&request.key)
             .is_some_and(|other| *other != id);
-        // A caller that does not count its tries may have one on its way that no router has read, and that will look like a
-        // new one. The breadth-first check of the fold finds that run after a refusal, in ten steps.
+        // A caller that does not count its attempts may have sent one that no router has read yet, and that will look
+        // like a new request. The breadth-first check of the ledger finds such a run after a refusal, in ten steps.
         if request.attempt == Attempt(0) {
             return Proof::None;
         }
-        // A claim on its way may still be accepted, though this router will not act on it; another attempt's router
-        // may have acted on that attempt's.
+        // A pending claim may still be accepted, although this router will not act on it. The router of another attempt
+        // may have acted on that attempt's claim.
         let claim_pending =
             request.reservation == Reservation::Pending && request.attempt != Attempt(1);
         if request.dispatched || other_active || claim_pending {
@@ -141,15 +142,15 @@
         if known.is_some_and(|key| key.claim.is_some()) {
             return Proof::None;
         }
-        // What came before a pause may have been tried elsewhere during it, as above.
+        // A request from before a pause of the process may have been run elsewhere meanwhile; see `refuse_arrival`.
         if request.attempt == Attempt(1) && !self.is_stale(request.arrived_at) {
             return Proof::Known;
         }
-        // A router that is cut off from the log may run what its peers alone know to be claimed; where one keeper is
-        // enough for that, it need not be this router.
-        let unseen_claim =
+        // A router that is cut off from the log may run a request whose claim only its peers know. Where a copy at one
+        // peer is enough for that, this router need not be that peer.
+        let unlogged_claim =
             self.tuning.lean == Lean::Available || self.members.keeps_claim(&request.key);
-        if unseen_claim {
+        if unlogged_claim {
             return Proof::None;
         }
         match !self.in_outage(now) && self.serving() && self.proofs.take(now) {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Takes the verdict of the record that was to prove a refusal.
+    /// Applies the verdict on the record that was to prove a refusal.
     pub(crate) fn apply_proof_verdict(&mut self, now: Instant, id: RequestId, verdict: &Verdict) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -180,7 +181,7 @@
         self.send_refusal(now, id, problem);
     }
 
-    /// Sends a refusal whose proof will not come.
+    /// Sends a refusal whose proof can no longer be obtained.
     pub(crate) fn abandon_proof(&mut self, now: Instant, id: RequestId) {
         if let Some(request) = self.requests.get(&id)
             && let State::Proving { problem } = &request.state
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Sends a refusal as it stands; what the ledger still has of the request is brought to its end behind it.
+    /// Sends a refusal as it is. The request's records in the ledger are settled afterwards.
     pub(crate) fn send_refusal(&mut self, now: Instant, id: RequestId, problem: Problem) {
         let problem = self.correct_status(id, problem);
         info!(event = "refused", request = %id, kind = %problem.kind, ran = %problem.ran);
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -24,68 +24,68 @@
     pub(crate) key: RequestKey,
     pub(crate) attempt: Attempt,
     pub(crate) fingerprint: Fingerprint,
-    /// The last offset folded when the attempt arrived.
+    /// The offset of the last ledger record applied when the attempt arrived.
     pub(crate) seen: Offset,
     pub(crate) team: TeamId,
     pub(crate) pool: PoolId,
     pub(crate) bearer: Bearer,
     pub(crate) idempotent: bool,
-    /// The most that it can cost.
+    /// The most tokens that it can cost.
     pub(crate) reserve: Tokens,
-    /// The longest answer that the reservation covers.
+    /// The most tokens of answer that the reservation covers.
     pub(crate) limit: Tokens,
     pub(crate) priority: u8,
     pub(crate) work: Work,
     pub(crate) arrived_at: Instant,
-    /// When its last claim joined a batch.
+    /// When its last claim was added to a batch.
     pub(crate) claimed_at: Option<Instant>,
     pub(crate) deadline: Instant,
     pub(crate) state: State,
-    /// Endpoints that failed over it.
+    /// Endpoints that failed while running it.
     pub(crate) failed_endpoints: Vec<VmId>,
-    /// What runs that broke off used.
+    /// Tokens used by runs that broke off.
     pub(crate) wasted: Tokens,
     /// Whether it was sent to an endpoint at all.
     pub(crate) dispatched: bool,
-    /// What the ledger and the purse have of it.
+    /// The state of its reservation in the purse and the ledger.
     pub(crate) reservation: Reservation,
     /// Whether it counts against its account's limit.
     pub(crate) entered: bool,
-    /// The terms of a request that is passed on as it came.
+    /// Set for a pass-through request.
     pub(crate) relay: Option<RelayTerms>,
 }
 
-/// The terms on which a request is passed on as it came.
+/// The terms of a pass-through request, which is relayed to its endpoint unchanged.
 ///
-/// Such a request has no key: only the router that has its connection can dispatch it, so that at most once needs no
-/// record in the log, and what it uses is counted in the router's own grant.
+/// It has no idempotency key: only the router that holds its connection can dispatch it, so at-most-once execution
+/// needs no record in the log, and its usage is charged to the router's own grant.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayTerms {
-    /// The client account, if the route asks for one.
+    /// The client account, if the route requires one.
     pub(crate) account: Option<AccountId>,
-    /// What may be repeated.
+    /// How far the route allows repeated runs.
     pub(crate) repeat: Repeat,
-    /// How urgent its route is among its team's, 0 (first) to 9 (last).
+    /// The priority of its route among its team's routes, 0 (first) to 9 (last).
     pub(crate) priority: u8,
-    /// How many endpoints it may run on.
+    /// The most endpoints that it may run on.
     pub(crate) attempts: u32,
-    /// How many endpoints it ran on, or may have run on.
+    /// The number of endpoints that it ran on, or may have run on.
     pub(crate) runs: u32,
-    /// The tokens of its prompt.
+    /// Tokens of its prompt.
     pub(crate) input: Tokens,
-    /// What it used so far.
+    /// Tokens used so far.
     pub(crate) used: Tokens,
     /// The most tokens in one event of its stream.
     pub(crate) stride: u64,
-    /// Within which time an answer, or its first event, is on time.
+    /// The latency objective for its answer, or for the first event of a stream.
     pub(crate) objective: Duration,
     /// Its prompt, if it has one.
     pub(crate) prompt: Option<Prompt>,
-    /// How many tokens of it the endpoint has to read, and when its first token is expected.
+    /// How many prompt tokens the endpoint has to prefill, and when the first token of the answer is expected.
     pub(crate) expected_prefill: Option<(u64, Instant)>,
-    /// Whether an endpoint was left for its silence.
+    /// Whether a run was already abandoned because its endpoint sent nothing in time.
     pub(crate) timed_out: bool,
-    /// Whether it was told to stop, so that only its use is still to come.
+    /// Whether it was told to stop, so that only its usage is still to be reported.
     pub(crate) stopped: bool,
 }
 
@@ -95,61 +95,61 @@
     }
 }
 
-/// How far a request's reservation has come.
+/// The state of a request's reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reservation {
     /// Nothing is reserved.
     None,
-    /// It is promised in the purse.
+    /// The cost is reserved in this router's purse.
     Funded,
-    /// Its claim is on its way; the promise stays until the verdict.
+    /// Its claim is on its way to the log; the purse keeps the reservation until the verdict.
     Pending,
-    /// Its claim stands in the ledger.
+    /// The ledger accepted its claim.
     Claimed,
 }
 
-/// Where a request is.
+/// The state of a request in progress.
 #[derive(Debug)]
 pub(crate) enum State {
-    /// Another attempt of it is in progress, here or elsewhere.
+    /// Another attempt with its key is in progress, at this router or another one.
     Contended,
     /// It waits for budget.
     Funding {
-        /// Since when it asks for more than can be drawn.
+        /// Since when its team's budget has had too little left to draw.
         short_since: Option<Instant>,
     },
     /// It waits for an endpoint.
     Queued,
     /// Its claim is on its way to the log.
     Claiming {
-        /// Where it will run.
+        /// The endpoint that it will run on.
         endpoint: VmId,
     },
-    /// It runs.
+    /// It runs at an endpoint.
     Running {
-        /// Where.
+        /// The endpoint that runs it.
         endpoint: VmId,
-        /// Since when.
+        /// When it was dispatched.
         since: Instant,
-        /// When its first token came.
+        /// When its first token, or the head of its answer, arrived.
         first_token: Option<Instant>,
     },
     /// Its bill is on its way to the log.
     Billing {
-        /// What the caller gets then.
+        /// What happens to the end of its answer.
         answer_end: AnswerEnd,
     },
-    /// The proof that it was not run is on its way to the log.
+    /// A record that is to prove that it was not run is on its way to the log.
     Proving {
-        /// What the caller gets then.
+        /// The refusal that the caller gets afterwards.
         problem: Box<Problem>,
     },
-    /// The caller has its answer or is gone; only the ledger's affairs are left.
+    /// The caller has its answer or is gone; only records in the ledger are still to be settled.
     Abandoned,
 }
 
 impl State {
-    /// Returns whether it waits for the log alone.
+    /// Returns whether it waits only for the log.
     pub(crate) fn needs_log(&self) -> bool {
         matches!(
             self,
@@ -158,13 +158,13 @@
     }
 }
 
-/// What a caller gets once its request is billed.
+/// What happens to the end of an answer whose request is being billed.
 #[derive(Debug)]
 pub(crate) enum AnswerEnd {
-    /// The end of its answer.
+    /// It is withheld until the bill is accepted.
     Withheld,
-    /// The end of its answer went out before, on other routers' word that they keep the bill.
+    /// It was already sent, because other routers confirmed that they hold a copy of the bill.
     Released,
-    /// Nothing more: it has its answer's cut or its refusal already.
+    /// There is none to send: the answer was cut off or refused, or the caller is gone.
     None,
 }
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -1,4 +1,4 @@
-//! What waits for budget, and what comes of it: requests here, and other routers' questions for loans.
+//! Waiting for budget: requests at this router, and loan requests from other routers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,36 +13,36 @@
 use crate::router::funds::kept_open;
 use crate::tokens::Tokens;
 
-/// How long a request waits for a grant: a read and a write at a log that takes a hundred milliseconds each.
+/// How long a request waits for a grant. Covers a read and a write of a log that takes a hundred milliseconds for each.
 const GRANT_WAIT: Duration = Duration::from_millis(400);
 
-/// How long another router's question for a loan waits: after a fifth of a second its sender has given up, and asks the next
+/// How long a loan request from another router waits. After a fifth of a second the sender gives up and asks the next
 /// owner.
 const LOAN_WAIT: Duration = Duration::from_millis(150);
 
-/// Why a request that waited for its budget can't have it.
+/// Why a request that waits for budget can't get it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unfunded {
-    /// What is left of the budget does not cover it.
+    /// The rest of the budget does not cover it.
     Spent,
-    /// Other routers hold what is left.
+    /// Other routers hold the rest.
     Held,
-    /// What is left is kept for more urgent requests.
+    /// The rest is kept for requests of higher priority.
     Kept,
-    /// The log can't be asked, and this router holds too little.
+    /// The log does not answer, and this router holds too little.
     Away,
 }
 
 impl Funds {
-    /// Has a request wait for a grant.
+    /// Has a request or a loan request wait for budget.
     pub(crate) fn push_waiting(&mut self, team: &TeamId, waiting: Waiting) {
         if let Some(allowance) = self.allowances.get_mut(team) {
             allowance.waiting.push_back(waiting);
         }
     }
 
-    /// Reserves for those that wait and can be covered now, and returns them and what they get. A small one may pass a large
-    /// one: the large one is refused if it can't be had, not the small one.
+    /// Reserves budget for the waiting requests that can be covered now, and returns them with their amounts. A small
+    /// request may overtake a large one: if the budget does not suffice, the large one is refused, not the small one.
     pub(crate) fn fund_waiting(&mut self, now: Instant) -> Vec<(Waiter, Tokens)> {
         let mut funded = Vec::new();
         for team in self.waiting_teams() {
@@ -83,8 +83,8 @@
         funded
     }
 
-    /// Returns what those that wait for a team's budget lack: what they may cost together, and what must stay open for more
-    /// urgent ones, beyond what can be reserved now.
+    /// Returns how much budget the waiting requests of a team lack: their maximum cost, plus what must stay available
+    /// for requests of higher priority, less what can be reserved now.
     pub(super) fn shortfall(&self, now: Instant, team: &TeamId) -> Tokens {
         let away = self.away.is_some();
         let allowance = &self.allowances[team];
@@ -95,7 +95,7 @@
         wanted.saturating_sub(self.available(now, team))
     }
 
-    /// Returns the requests that can't have their budget, or not in time, and why.
+    /// Removes the waiting requests that can't get their budget, or not in time, and returns them with the reason.
     pub(crate) fn take_unfunded(&mut self, now: Instant) -> Vec<(Waiter, Unfunded)> {
         let mut unfunded = Vec::new();
         for team in self.waiting_teams() {
@@ -118,7 +118,7 @@
                 let why = match waiting.amount {
                     amount if asked && amount > left => Unfunded::Spent,
                     amount if asked && amount > reach => Unfunded::Held,
-                    // What is held for it may be used within a moment.
+                    // Budget that is held here but not usable yet may become usable within moments.
                     amount if amount <= held && now < waiting.since + GRANT_WAIT => return true,
                     _ if away => Unfunded::Away,
                     _ if now >= waiting.since + GRANT_WAIT => Unfunded::Held,
@@ -131,7 +131,7 @@
         unfunded
     }
 
-    /// Takes a request out of those that wait.
+    /// Removes a request from those that wait.
     pub(crate) fn remove_waiting(&mut self, team: &TeamId, request: RequestId) {
         if let Some(allowance) = self.allowances.get_mut(team) {
             let is_request = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns the teams for whose budget requests wait.
+    /// Returns the teams with requests that wait for their budget.
     pub(super) fn waiting_teams(&self) -> Vec<TeamId> {
         let waiting = self
             .allowances
