--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -162,9 +162,10 @@
                     let detail = format!("the pool {} does not serve {service}", route.pool);
                     return Err(new_problem(ProblemKind::NoRoute, &detail));
                 }
-                let by_method = matches!(method.as_str(), "GET" | "HEAD" | "PUT" | "DELETE");
-                let repeat = repeatable.get(method).copied().unwrap_or(by_method);
-                (*price, Tokens::ZERO, repeat)
+                let idempotent_method =
+                    matches!(method.as_str(), "GET" | "HEAD" | "PUT" | "DELETE");
+                let repeatable_call = repeatable.get(method).copied().unwrap_or(idempotent_method);
+                (*price, Tokens::ZERO, repeatable_call)
             }
             _ => {
                 let detail = format!("the pool {} serves another kind of request", route.pool);
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -103,28 +103,28 @@
             let reach = self.reach(&team);
             let held = self.held(&team);
             let fresh = self.fresh;
-            let borrows = self.allowances[&team].loans.may_bring(now);
+            let may_borrow = self.allowances[&team].loans.may_bring(now);
             let away = self.failures > 0 || self.book.end().is_none();
             self.allowances[&team].waiting.retain(|waiting| {
-                let asked = fresh.is_some_and(|at| at + FRESH >= waiting.since);
-                let loan = matches!(waiting.who, Waiter::Loan(..));
-                if loan && now >= waiting.since + LOAN_WAIT {
+                let book_fresh = fresh.is_some_and(|at| at + FRESH >= waiting.since);
+                let is_loan = matches!(waiting.who, Waiter::Loan(..));
+                if is_loan && now >= waiting.since + LOAN_WAIT {
                     unfunded.push((waiting.who.clone(), Unfunded::Held));
                     return false;
                 }
-                if borrows {
+                if may_borrow {
                     return true;
                 }
-                let why = match waiting.amount {
-                    amount if asked && amount > left => Unfunded::Spent,
-                    amount if asked && amount > reach => Unfunded::Held,
+                let reason = match waiting.amount {
+                    amount if book_fresh && amount > left => Unfunded::Spent,
+                    amount if book_fresh && amount > reach => Unfunded::Held,
                     // Budget that is held here but not usable yet may become usable within moments.
                     amount if amount <= held && now < waiting.since + GRANT_WAIT => return true,
                     _ if away => Unfunded::Away,
                     _ if now >= waiting.since + GRANT_WAIT => Unfunded::Held,
                     _ => return true,
                 };
-                unfunded.push((waiting.who.clone(), why));
+                unfunded.push((waiting.who.clone(), reason));
                 false
             });
         }
@@ -134,10 +134,8 @@
     /// Removes a request from those that wait.
     pub(crate) fn remove_waiting(&mut self, team: &TeamId, request: RequestId) {
         if let Some(allowance) = self.allowances.get_mut(team) {
-            let is_request = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
-            allowance
-                .waiting
-                .retain(|waiting| !is_request(&waiting.who));
+            let is_match = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
+            allowance.waiting.retain(|waiting| !is_match(&waiting.who));
         }
     }
 
