--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -69,7 +69,7 @@
             return Err(self.not_serving());
         }
         let Some((account, spec)) = self.config.account_by_key(&arrival.bearer.0) else {
-            let detail = "the bearer key is not in the configuration in force";
+            let detail = "the bearer key is none that is in force";
             return Err(new_problem(ProblemKind::Unauthorized, detail));
         };
         let labels = labels(&account, &spec.labels, arrival);
@@ -84,7 +84,7 @@
     fn check_limits(&mut self, now: Instant, id: RequestId) {
         let request = &self.requests[&id];
         if self.is_poison(id) {
-            let detail = "endpoints failed repeatedly while running this request";
+            let detail = "endpoints failed over this request again and again";
             self.refuse(now, id, ProblemKind::Quarantined, detail);
             return;
         }
@@ -127,10 +127,7 @@
         arrival: &Arrival,
     ) -> Result<Request, Box<Problem>> {
         let Some(pool) = self.config.pool(&route.pool) else {
-            return Err(new_problem(
-                ProblemKind::NoRoute,
-                "the rule's pool no longer exists",
-            ));
+            return Err(new_problem(ProblemKind::NoRoute, "the rule's pool is gone"));
         };
         let (reserve, limit, idempotent) = match (&arrival.work, &pool.kind) {
             (
@@ -323,7 +320,7 @@
         let instead = self.other_address();
         let problem = new_problem(
             ProblemKind::NotServing,
-            "this router is shutting down or still starting",
+            "this router is leaving or has just begun",
         );
         Box::new(problem.with_instead(instead).with_retry(NOT_SERVING_RETRY))
     }
@@ -363,13 +360,13 @@
 const OUTCOME_UNKNOWN: Disposition = Disposition::Refuse(
     ProblemKind::OutcomeUnknown,
     Ran::Unknown,
-    "the request was sent to the service, but no answer came back; ask the service whether it took effect",
+    "it was sent to the service, and no answer came back; ask the service whether it took effect",
 );
 
 const FINISHED: Disposition = Disposition::Refuse(
     ProblemKind::Finished,
     Ran::Yes,
-    "the request already ran and was billed; send it with a new key to run it again",
+    "it ran and was billed before; ask with a new key to have it run again",
 );
 
 /// Collects the labels that rules match on. The account's labels override those that the caller sends.
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -77,7 +77,7 @@
             return;
         };
         if !(request.idempotent && self.may_run_unclaimed(now)) {
-            let detail = "this router can't reach the log service";
+            let detail = "the log service can't be reached from here";
             let instead = self.other_address();
             let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
             self.refuse_with(
@@ -149,11 +149,11 @@
         match void {
             Void::Holding => self.fund(now, id),
             Void::Refused => {
-                let detail = "the ledger already has a refusal of this request";
+                let detail = "an earlier refusal of this request reached the ledger first";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
             Void::Closed | Void::Sequence => {
-                let detail = "the other routers declared this router dead";
+                let detail = "this router was taken for dead by the others";
                 self.refuse(now, id, ProblemKind::NotServing, detail);
             }
             _ => {
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -33,12 +33,7 @@
             return self.refuse_for_drain(now, id);
         }
         let Some(pool) = self.pools.get_mut(&name) else {
-            self.refuse(
-                now,
-                id,
-                ProblemKind::NoRoute,
-                "the rule's pool no longer exists",
-            );
+            self.refuse(now, id, ProblemKind::NoRoute, "the rule's pool is gone");
             return;
         };
         match pool.queue.push(now, id, ticket) {
