--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -1,4 +1,4 @@
-//! A request's way in: who asks, who pays, where it goes, and whether the ledger knows it already.
+//! Admission of requests: identifies the account, selects the team that pays and the pool, and looks up the key.
 
 use std::time::Instant;
 
@@ -26,25 +26,25 @@
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
 use crate::router::request::Request;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
-/// What the ledger and this router's own desk say of a request that arrived.
-pub(crate) enum Look {
-    /// Nothing stands against it.
+/// What to do with a request, by the state of its key in the ledger and among this router's requests in progress.
+pub(crate) enum Disposition {
+    /// Nothing prevents it from running.
     Run,
     /// Another attempt is in progress.
     Wait,
-    /// It ran, and its answer is kept.
+    /// It ran, and its answer is stored.
     Replay(Replay),
     /// It can't run.
     Refuse(ProblemKind, Ran, &'static str),
 }
 
 impl Core {
-    /// Takes a caller's request.
-    pub(crate) fn arrive(&mut self, now: Instant, arrival: Arrival) {
+    /// Handles a caller's request.
+    pub(crate) fn handle_arrival(&mut self, now: Instant, arrival: Arrival) {
         self.retries.request(now);
         let id = arrival.id;
         match self.admit(now, &arrival) {
@@ -54,13 +54,13 @@
                     team = %request.team, pool = %request.pool, reserve = %request.reserve,
                 );
                 self.requests.insert(id, request);
-                self.enter(now, id);
+                self.check_limits(now, id);
             }
             Err(problem) => self.refuse_arrival(now, &arrival, *problem),
         }
     }
 
-    /// Decides on a request by what its caller says and the configuration.
+    /// Admits or rejects a request by its bearer key, its labels and the configuration.
     fn admit(&mut self, now: Instant, arrival: &Arrival) -> Result<Request, Box<Problem>> {
         if let Work::Relay(relay) = &arrival.work {
             return self.admit_relay(now, arrival, relay);
@@ -70,18 +70,18 @@
         }
         let Some((account, spec)) = self.config.account_by_key(&arrival.bearer.0) else {
             let detail = "the bearer key is none that is in force";
-            return Err(unproved(ProblemKind::Unauthorized, detail));
+            return Err(new_problem(ProblemKind::Unauthorized, detail));
         };
         let labels = labels(&account, &spec.labels, arrival);
         let Some(route) = self.config.route(&labels) else {
             let detail = format!("no rule matches the labels {labels}");
-            return Err(unproved(ProblemKind::NoRoute, &detail));
+            return Err(new_problem(ProblemKind::NoRoute, &detail));
         };
-        self.request(now, account, route, arrival)
+        self.build_request(now, account, route, arrival)
     }
 
-    /// Holds an admitted request against quarantine and its account's limit.
-    fn enter(&mut self, now: Instant, id: RequestId) {
+    /// Checks an admitted request against quarantine and its account's limit.
+    fn check_limits(&mut self, now: Instant, id: RequestId) {
         let request = &self.requests[&id];
         if self.is_poison(id) {
             let detail = "endpoints failed over this request again and again";
@@ -94,12 +94,12 @@
         match self.enter_account(now, &request.account().clone()) {
             Ok(()) => {
                 self.requests[&id].entered = true;
-                self.go_in(now, id);
+                self.proceed(now, id);
             }
             Err(refusal) => {
                 let detail = refusal.to_string();
                 let problem = Problem::new(ProblemKind::RateLimited, Ran::Unknown, &detail);
-                self.refuse_with(now, id, problem.retry_in(refusal.retry_after()));
+                self.refuse_with(now, id, problem.with_retry(refusal.retry_after()));
             }
         }
     }
@@ -112,14 +112,14 @@
             .try_enter(now)
     }
 
-    /// Returns who holds a claim that a request waits for, if it is another router.
-    pub(crate) fn claimant(&self, id: RequestId) -> Option<&str> {
+    /// Returns the address of the router that holds the claim on a request's key, if there is one.
+    pub(crate) fn claim_holder(&self, id: RequestId) -> Option<&str> {
         let key = self.ledger.key(&self.requests.get(&id)?.key)?;
         let router = key.claim.as_ref()?.router;
         self.ledger.router(router).map(|r| r.address.as_str())
     }
 
-    fn request(
+    fn build_request(
         &self,
         now: Instant,
         account: AccountId,
@@ -127,7 +127,7 @@
         arrival: &Arrival,
     ) -> Result<Request, Box<Problem>> {
         let Some(pool) = self.config.pool(&route.pool) else {
-            return Err(unproved(ProblemKind::NoRoute, "the rule's pool is gone"));
+            return Err(new_problem(ProblemKind::NoRoute, "the rule's pool is gone"));
         };
         let (reserve, limit, idempotent) = match (&arrival.work, &pool.kind) {
             (
@@ -142,7 +142,7 @@
                 if !models.contains(model) {
                     let detail =
                         format!("the pool {} does not serve the model {model}", route.pool);
-                    return Err(unproved(ProblemKind::NoRoute, &detail));
+                    return Err(new_problem(ProblemKind::NoRoute, &detail));
                 }
                 let limit = limit.unwrap_or(*max_tokens).min(*max_tokens);
                 (limit.saturating_add(Tokens(*prompt)), limit, true)
@@ -157,15 +157,16 @@
             ) => {
                 if service != name {
                     let detail = format!("the pool {} does not serve {service}", route.pool);
-                    return Err(unproved(ProblemKind::NoRoute, &detail));
+                    return Err(new_problem(ProblemKind::NoRoute, &detail));
                 }
-                let by_method = matches!(method.as_str(), "GET" | "HEAD" | "PUT" | "DELETE");
-                let repeat = repeatable.get(method).copied().unwrap_or(by_method);
-                (*price, Tokens::ZERO, repeat)
+                let idempotent_method =
+                    matches!(method.as_str(), "GET" | "HEAD" | "PUT" | "DELETE");
+                let repeatable_call = repeatable.get(method).copied().unwrap_or(idempotent_method);
+                (*price, Tokens::ZERO, repeatable_call)
             }
             _ => {
                 let detail = format!("the pool {} serves another kind of request", route.pool);
-                return Err(unproved(ProblemKind::NoRoute, &detail));
+                return Err(new_problem(ProblemKind::NoRoute, &detail));
             }
         };
         let Some(key) = &arrival.key else {
@@ -192,7 +193,7 @@
             },
             attempt: arrival.attempt,
             fingerprint: arrival.request,
-            seen: self.seen(),
+            seen: self.last_applied(),
             team: route.team,
             pool: route.pool,
             bearer,
@@ -201,25 +202,26 @@
             limit,
             priority,
             work: arrival.work.clone(),
-            arrived: now,
-            claimed: None,
+            arrived_at: now,
+            claimed_at: None,
             deadline: now + patience,
             state: State::Contended,
-            tried: Vec::new(),
+            failed_endpoints: Vec::new(),
             wasted: Tokens::ZERO,
             dispatched: false,
-            stake: Stake::None,
+            reservation: Reservation::None,
             entered: false,
             relay: None,
         })
     }
 
-    /// Sends an admitted request on its way, by what is known of its key.
-    pub(crate) fn go_in(&mut self, now: Instant, id: RequestId) {
-        match self.look(id) {
-            Look::Run => {
+    /// Starts an admitted request, has it wait for another attempt, replays its answer or refuses it, by what is known
+    /// of its key.
+    pub(crate) fn proceed(&mut self, now: Instant, id: RequestId) {
+        match self.disposition(id) {
+            Disposition::Run => {
                 if !self.requests[&id].idempotent && self.in_outage(now) {
-                    // Without the log nobody can tell whether another router runs it as well.
+                    // Without the log it can't be ruled out that another router runs it as well.
                     let detail = "the log service does not answer, and without it a call that may not be repeated \
                                   cannot be claimed";
                     self.refuse(now, id, ProblemKind::LogOutage, detail);
@@ -229,41 +231,41 @@
                 self.active.insert(key, id);
                 self.fund(now, id);
             }
-            Look::Wait => {
+            Disposition::Wait => {
                 self.requests[&id].state = State::Contended;
                 self.contended.push(id);
             }
-            Look::Replay(replay) => {
+            Disposition::Replay(replay) => {
                 self.effects.push(Effect::Replay(id, replay));
                 self.finish(now, id);
             }
-            Look::Refuse(kind, ran, detail) => {
+            Disposition::Refuse(kind, ran, detail) => {
                 self.send_refusal(now, id, Problem::new(kind, ran, detail))
             }
         }
     }
 
-    /// Looks up what is known of a request's key.
+    /// Returns what to do with a request, by what is known of its key.
     ///
-    /// What it finds may be old; the claim's verdict decides. Looking first spares the log a claim that is sure to be
-    /// void, and lets a retry wait for the attempt before it.
-    pub(crate) fn look(&self, id: RequestId) -> Look {
+    /// The state seen here may be out of date; the claim's verdict decides. Checking first avoids appending a claim
+    /// that is certain to be void, and lets a retry wait for the attempt before it.
+    pub(crate) fn disposition(&self, id: RequestId) -> Disposition {
         let request = &self.requests[&id];
         if let Some(other) = self.active.get(&request.key)
             && *other != id
         {
             return match self.requests[other].fingerprint == request.fingerprint {
-                true => Look::Wait,
+                true => Disposition::Wait,
                 false => OTHER_REQUEST,
             };
         }
         match self.ledger.key(&request.key) {
-            None => Look::Run,
-            Some(key) => self.look_at(request, key),
+            None => Disposition::Run,
+            Some(key) => self.ledger_disposition(request, key),
         }
     }
 
-    fn look_at(&self, request: &Request, key: &KeyState) -> Look {
+    fn ledger_disposition(&self, request: &Request, key: &KeyState) -> Disposition {
         if key
             .request
             .is_some_and(|other| other != request.fingerprint)
@@ -272,8 +274,8 @@
         }
         if let Some(claim) = &key.claim {
             return match self.ledger.is_open(claim.router) {
-                true if claim.router == self.me => Look::Run,
-                true => Look::Wait,
+                true if claim.router == self.me => Disposition::Run,
+                true => Disposition::Wait,
                 false => OUTCOME_UNKNOWN,
             };
         }
@@ -283,7 +285,7 @@
                 Outcome::Answered {
                     status,
                     body: Some(body),
-                } => Look::Replay(Replay {
+                } => Disposition::Replay(Replay {
                     status: *status,
                     body: body.clone(),
                 }),
@@ -292,11 +294,11 @@
             },
             Some(_) if key.reruns >= MAX_RERUNS => FINISHED,
             None if once && key.orphaned => OUTCOME_UNKNOWN,
-            _ => Look::Run,
+            _ => Disposition::Run,
         }
     }
 
-    /// Looks again at the requests that wait for another attempt's end.
+    /// Checks again the requests that wait for another attempt to end.
     pub(crate) fn recheck_contended(&mut self, now: Instant) {
         for id in std::mem::take(&mut self.contended) {
             let waits = self
@@ -304,30 +306,31 @@
                 .get(&id)
                 .is_some_and(|request| matches!(request.state, State::Contended));
             if waits {
-                self.go_in(now, id);
+                self.proceed(now, id);
             }
         }
     }
 
-    /// Returns the last offset folded.
-    pub(crate) fn seen(&self) -> crate::ids::Offset {
+    /// Returns the offset of the last ledger record applied.
+    pub(crate) fn last_applied(&self) -> crate::ids::Offset {
         crate::ids::Offset(self.ledger.next().0.saturating_sub(1))
     }
 
     pub(crate) fn not_serving(&mut self) -> Box<Problem> {
         let instead = self.other_address();
-        let problem = unproved(
+        let problem = new_problem(
             ProblemKind::NotServing,
             "this router is leaving or has just begun",
         );
-        Box::new(problem.go_to(instead).retry_in(NOT_SERVING_RETRY))
+        Box::new(problem.with_instead(instead).with_retry(NOT_SERVING_RETRY))
     }
 
-    /// Counts a request no more against its account's limit.
+    /// Stops counting a request against its account's limit.
     ///
-    /// In a log outage bills wait for the log while their callers have their answers. Were those still in progress, an
-    /// account would be refused after as many requests as it may have at once, until the log is back.
-    pub(crate) fn leave(&mut self, id: RequestId) {
+    /// During a log outage, bills wait for the log although their callers already have their answers. If these requests
+    /// still counted as in progress, an account that reaches its concurrency limit would be refused until the log is
+    /// back.
+    pub(crate) fn leave_limit(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && std::mem::take(&mut request.entered)
         {
@@ -336,7 +339,7 @@
         }
     }
 
-    /// Makes sure that an account's entry is given back.
+    /// Stops counting one request against an account's limit.
     pub(crate) fn leave_account(&mut self, account: &AccountId) {
         if let Entry::Occupied(mut limit) = self.accounts.entry(account.clone()) {
             limit.get_mut().leave();
@@ -344,28 +347,29 @@
     }
 }
 
-/// How soon a caller of a router that does not serve may try another: at once, but for a spread.
+/// Retry delay for callers of a router that does not serve. They may try another one at once; the delay only spreads
+/// the retries.
 const NOT_SERVING_RETRY: std::time::Duration = std::time::Duration::from_millis(100);
 
-const OTHER_REQUEST: Look = Look::Refuse(
+const OTHER_REQUEST: Disposition = Disposition::Refuse(
     ProblemKind::OtherRequest,
     Ran::Unknown,
     "the Idempotency-Key was used with another body or path",
 );
 
-const OUTCOME_UNKNOWN: Look = Look::Refuse(
+const OUTCOME_UNKNOWN: Disposition = Disposition::Refuse(
     ProblemKind::OutcomeUnknown,
     Ran::Unknown,
     "it was sent to the service, and no answer came back; ask the service whether it took effect",
 );
 
-const FINISHED: Look = Look::Refuse(
+const FINISHED: Disposition = Disposition::Refuse(
     ProblemKind::Finished,
     Ran::Yes,
     "it ran and was billed before; ask with a new key to have it run again",
 );
 
-/// Gathers the labels that rules select by. What the account attaches goes before what the caller says.
+/// Collects the labels that rules match on. The account's labels override those that the caller sends.
 fn labels(account: &AccountId, attached: &Labels, arrival: &Arrival) -> Labels {
     let mut labels = arrival.labels.clone();
     for (name, value) in &attached.0 {
@@ -386,6 +390,7 @@
     labels
 }
 
-fn unproved(kind: ProblemKind, detail: &str) -> Box<Problem> {
+/// Makes a problem that leaves open whether the request ran.
+fn new_problem(kind: ProblemKind, detail: &str) -> Box<Problem> {
     Box::new(Problem::new(kind, Ran::Unknown, detail))
 }
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: taking a request for this router before anything is sent to an endpoint.
+//! Claims, which assign a request to this router before anything is sent to an endpoint.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,10 +17,10 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 
-/// When a caller may come back to a router that is cut off from the log.
+/// Retry delay for callers of a router that is cut off from the log.
 pub(crate) const OUTAGE_RETRY: Duration = Duration::from_secs(2);
 
 impl Core {
@@ -30,7 +30,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        // No other router has a request without a key, so that there is nobody to claim it from.
+        // A request without a key exists only at this router, so no claim is needed.
         if request.relay.is_some() {
             return self.dispatch(now, id, endpoint);
         }
@@ -44,21 +44,21 @@
             idempotent: request.idempotent,
             bearer: request.bearer,
         });
-        request.claimed = Some(now);
-        request.stake = Stake::Pushed;
+        request.claimed_at = Some(now);
+        request.reservation = Reservation::Pending;
         request.state = State::Claiming { endpoint };
         self.appender.push(record, Ticket::Claim(id));
         if outage {
-            self.expire_unclaimed(now, id);
+            self.refuse_unclaimable(now, id);
         }
     }
 
-    /// Runs a request whose claim the log does not take, once others keep the claim.
+    /// Runs a request whose claim the log does not accept, once other routers hold a copy of the claim.
     ///
-    /// In a log outage a router serves from its holdings. The request may be run by another router as well, should its
-    /// caller go there, and is then billed by one of them alone; for a request that may be repeated that is harm
-    /// enough to bear, for another it is not.
-    pub(crate) fn claim_kept(&mut self, now: Instant, id: RequestId) {
+    /// During a log outage a router serves from its holdings. If the caller retries at another router, that router may
+    /// run the request as well, and only one of the two bills it. This is acceptable for an idempotent request, but not
+    /// for any other.
+    pub(crate) fn run_kept_claim(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Refuses a request whose claim the log does not take and others can't keep.
-    pub(crate) fn expire_unclaimed(&mut self, now: Instant, id: RequestId) {
+    /// Refuses a request whose claim the log does not accept, unless it may run on other routers' copies of the claim.
+    pub(crate) fn refuse_unclaimable(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -80,12 +80,16 @@
             let detail = "the log service can't be reached from here";
             let instead = self.other_address();
             let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
-            self.refuse_with(now, id, problem.retry_in(OUTAGE_RETRY).go_to(instead));
+            self.refuse_with(
+                now,
+                id,
+                problem.with_retry(OUTAGE_RETRY).with_instead(instead),
+            );
         }
     }
 
-    /// Takes the fold's word on a claim.
-    pub(crate) fn claim_verdict(&mut self, now: Instant, id: RequestId, verdict: Verdict) {
+    /// Applies the ledger's verdict on a claim.
+    pub(crate) fn apply_claim_verdict(&mut self, now: Instant, id: RequestId, verdict: Verdict) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -94,18 +98,18 @@
         }
         match verdict {
             Verdict::Accepted => {
-                request.stake = Stake::Held;
-                self.claimed(now, id);
+                request.reservation = Reservation::Claimed;
+                self.claim_accepted(now, id);
             }
             Verdict::Granted(_) => {}
             Verdict::Void(void) => {
-                request.stake = Stake::None;
+                request.reservation = Reservation::None;
                 self.claim_void(now, id, void);
             }
         }
     }
 
-    fn claimed(&mut self, now: Instant, id: RequestId) {
+    fn claim_accepted(&mut self, now: Instant, id: RequestId) {
         let request = &self.requests[&id];
         match &request.state {
             State::Claiming { endpoint } => {
@@ -113,12 +117,12 @@
                 self.dispatch(now, id, endpoint);
             }
             State::Abandoned => self.release_claim(id),
-            // It runs already, or its bill follows: the claim came late, after a log outage.
+            // It already runs or is being billed: the claim reached the log late, after an outage.
             _ => {}
         }
     }
 
-    /// Gives up a claim whose request was never dispatched.
+    /// Releases the claim of a request that was never dispatched.
     pub(crate) fn release_claim(&mut self, id: RequestId) {
         let key = self.requests[&id].key.clone();
         let record = Record::Release { key };
@@ -131,7 +135,7 @@
         match &request.state {
             State::Claiming { .. } => self.claim_lost(now, id, void),
             State::Running { .. } => {
-                // Run beside its claim in a log outage, and another router had it first: this run can't be billed.
+                // It was run during a log outage, and another router's claim came first: this run can't be billed.
                 warn!(event = "run-unbillable", request = %id);
                 self.lose(now, id);
             }
@@ -153,12 +157,12 @@
                 self.refuse(now, id, ProblemKind::NotServing, detail);
             }
             _ => {
-                // The ledger knows the key now: it waits for the other attempt, or is told what became of it.
+                // The ledger has the key now: the request waits for the other attempt, or gets its outcome.
                 let key = self.requests[&id].key.clone();
                 if self.active.get(&key) == Some(&id) {
                     self.active.shift_remove(&key);
                 }
-                self.go_in(now, id);
+                self.proceed(now, id);
             }
         }
     }
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -19,7 +19,7 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
@@ -51,7 +51,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.state = State::Funding { short: None };
+        request.state = State::Funding { short_since: None };
         if request.relay.is_some() {
             return self.fund_relay(now, id);
         }
@@ -93,7 +93,7 @@
             // A small request may pass a large one: the large one is refused if it can't be had, not the small one.
             if purse.available(free) >= request.reserve {
                 purse.promise(request.reserve);
-                request.stake = Stake::Funded;
+                request.reservation = Reservation::Funded;
                 funded.push(id);
             } else {
                 purse.waiting.push_back(id);
@@ -174,10 +174,10 @@
                 continue;
             };
             let hopeless = request.reserve > unspent;
-            let State::Funding { short } = &mut request.state else {
+            let State::Funding { short_since } = &mut request.state else {
                 continue;
             };
-            let since = *short.get_or_insert(now);
+            let since = *short_since.get_or_insert(now);
             if hopeless || now >= since + SHORT_WAIT {
                 self.refuse_spent(now, id, hopeless);
             }
@@ -192,7 +192,7 @@
         );
         let retry = if hopeless { SPENT_RETRY } else { HELD_RETRY };
         let problem = Problem::new(ProblemKind::BudgetSpent, Ran::Unknown, &detail);
-        self.refuse_with(now, id, problem.retry_in(retry));
+        self.refuse_with(now, id, problem.with_retry(retry));
     }
 
     /// Draws or returns what the policy says.
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -26,7 +26,7 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::waiting::Unfunded;
 use crate::tokens::Tokens;
 
@@ -87,7 +87,7 @@
         let priority = request.relay.as_ref().map_or(0, |terms| terms.priority);
         match self.funds.reserve(now, &team, priority, amount) {
             Reserve::Done => {
-                request.stake = Stake::Funded;
+                request.reservation = Reservation::Funded;
                 self.enqueue(now, id);
             }
             Reserve::Short => {
@@ -97,7 +97,7 @@
                     priority,
                     since: now,
                 };
-                self.funds.wait(&team, waiting);
+                self.funds.push_waiting(&team, waiting);
             }
             Reserve::Kept => self.refuse_unfunded(now, id, Unfunded::Kept),
         }
@@ -105,16 +105,16 @@
 
     /// Sends on the requests that have their budget now, refuses those that can't have it, and asks the log for more.
     pub(crate) fn step_funds(&mut self, now: Instant) {
-        for (who, amount) in self.funds.funded(now) {
+        for (who, amount) in self.funds.fund_waiting(now) {
             match who {
                 Waiter::Request(id) => {
-                    self.requests[&id].stake = Stake::Funded;
+                    self.requests[&id].reservation = Reservation::Funded;
                     self.enqueue(now, id);
                 }
                 Waiter::Loan(ids, _) => self.answer_loans(ids, amount),
             }
         }
-        for (who, why) in self.funds.unfunded(now) {
+        for (who, why) in self.funds.take_unfunded(now) {
             match who {
                 Waiter::Request(id) => self.refuse_unfunded(now, id, why),
                 Waiter::Loan(ids, ask) => {
@@ -187,18 +187,18 @@
             }
             Unfunded::Held => {
                 let detail = format!("other routers hold what is left of the budget of {team}");
-                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
+                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).with_retry(retry)
             }
             Unfunded::Kept => {
                 let detail = format!(
                     "what is left of the budget of {team} is kept for more urgent requests"
                 );
-                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
+                Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).with_retry(retry)
             }
             Unfunded::Away => {
                 let detail =
                     "the log can't be reached, and this router holds too little of the budget";
-                Problem::new(ProblemKind::LogOutage, Ran::No, detail).retry_in(retry)
+                Problem::new(ProblemKind::LogOutage, Ran::No, detail).with_retry(retry)
             }
         };
         self.refuse_with(now, id, problem);
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -19,8 +19,8 @@
 use crate::router::effect::Peer;
 use crate::router::event::AdminId;
 use crate::router::event::KeptBatches;
+use crate::router::request::AnswerEnd;
 use crate::router::request::State;
-use crate::router::request::Then;
 use crate::settings::EndMarker;
 
 /// How often peers are sent what is new. Callers wait this long for the end of their answers, and at 100 bytes a record
@@ -139,7 +139,7 @@
             }
         }
         for id in claimed {
-            self.claim_kept(now, id);
+            self.run_kept_claim(now, id);
         }
         let mut kept = self.outage.kept.iter();
         let apart = kept.any(|(vm, extent)| *extent >= covered && self.may_keep(vm));
@@ -186,16 +186,16 @@
             && matches!(
                 request.state,
                 State::Billing {
-                    then: Then::Release
+                    answer_end: AnswerEnd::Withheld
                 }
             )
         {
             request.state = State::Billing {
-                then: Then::Released,
+                answer_end: AnswerEnd::Released,
             };
             info!(event = "bill-kept", request = %id);
             self.effects.push(Effect::Release(id));
-            self.leave(id);
+            self.leave_limit(id);
         }
     }
 }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -186,7 +186,7 @@
         }
         self.share_cold(now);
         self.refuse_drained(now);
-        self.pump_all(now);
+        self.serve_all_queues(now);
     }
 
     /// Returns where an endpoint listens.
@@ -275,13 +275,13 @@
         let State::Running {
             endpoint,
             since,
-            first,
+            first_token,
         } = &request.state
         else {
             return;
         };
         let endpoint = endpoint.clone();
-        let waited = first.map(|at| at - *since);
+        let waited = first_token.map(|at| at - *since);
         let time = waited.unwrap_or(now - *since);
         let (sample, evidence) = match end {
             RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
@@ -296,7 +296,7 @@
             RunEnd::CallerGone { .. } | RunEnd::Unsent => (Sample::Other, None),
         };
         if matches!(end, RunEnd::NotRun { .. } | RunEnd::Broken { .. }) {
-            request.tried.push(endpoint.clone());
+            request.failed_endpoints.push(endpoint.clone());
         }
         let fingerprint = request.fingerprint;
         match end {
@@ -316,7 +316,7 @@
             }
         }
         let pool = request.pool.clone();
-        self.pump(now, &pool);
+        self.serve_queue(now, &pool);
     }
 
     /// Takes a request off its endpoint, which it never reached or whose run is of no more use.
@@ -345,7 +345,7 @@
                 pool.loaded.insert(vm.clone(), load.models.clone());
             }
         }
-        self.pump_all(now);
+        self.serve_all_queues(now);
     }
 
     /// Takes in an endpoint's news of its prefix cache.
@@ -363,7 +363,7 @@
     /// Refuses what waited too long, fills what has room, and asks endpoints how they are.
     pub(crate) fn tick_pools(&mut self, now: Instant) {
         self.expire_queues(now);
-        self.pump_all(now);
+        self.serve_all_queues(now);
         let mut probes = Vec::new();
         for pool in self.pools.values_mut().filter(|pool| pool.engines) {
             if pool.probed.is_none_or(|at| now >= at + PROBE) {
--- a/src/router/problem.rs
+++ b/src/router/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals, as RFC 9457 problems.
+//! Refusals, as RFC 9457 problem details.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// What a refusal says of the request under its key, not of the attempt alone.
+/// What a refusal states about all attempts with the request's key, not about one attempt alone.
 ///
-/// A router that said "no" of the retry of a request that another router ran would have the caller send it once more
-/// under a new key, and so have it run twice. "No" is therefore said only where it is proved.
+/// If a router answered "no" to the retry of a request that another router ran, the caller would send it once more
+/// under a new key, and it would run twice. "No" is therefore stated only where it is proved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// It was not run, and no attempt from before this answer will run it.
+    /// It was not run, and no attempt made before this answer will run it.
     No,
-    /// Nobody can tell yet; the same key, sent again, finds out.
+    /// It is not known yet; sending the same key again finds out.
     Unknown,
-    /// It was run, and its answer is not kept.
+    /// It was run, and its answer is not stored.
     Yes,
 }
 
@@ -43,35 +43,35 @@
     TooLarge,
     /// No client account has this bearer key.
     Unauthorized,
-    /// There is no such path, model or service, or no rule says who pays.
+    /// There is no such path, model or service, or no rule selects a team that pays.
     NoRoute,
-    /// The key stands for another request.
+    /// The key was used for another request.
     OtherRequest,
-    /// The client account asks more often than it may.
+    /// The client account exceeds its limits.
     RateLimited,
     /// The queue is full, or the wait would outlast the deadline.
     Overloaded,
     /// The team's budget does not cover the request.
     BudgetSpent,
-    /// The budget may cover the request, but this router can't have what is left of it now.
+    /// The budget may cover the request, but this router can't obtain the rest of it now.
     BudgetHeld,
     /// No endpoint could take the request.
     NoEndpoint,
-    /// Endpoints keep dying of this request.
+    /// Endpoints failed repeatedly while running this request.
     Quarantined,
-    /// This router is leaving, or has not joined yet.
+    /// This router is shutting down, or still starting.
     NotServing,
-    /// The configuration in force here does not allow the request, and a newer one may.
+    /// The configuration in force here does not allow the request, but a newer one may.
     ConfigBehind,
     /// The log service does not answer, and this request needs it.
     LogOutage,
     /// Another attempt of the request is in progress.
     InProgress,
-    /// The request may not run twice, and nobody knows whether it ran.
+    /// The request may not run twice, and it is not known whether it ran.
     OutcomeUnknown,
-    /// The request ran before, and its answer is not kept.
+    /// The request already ran, and its answer is not stored.
     Finished,
-    /// The endpoint failed while it ran the request.
+    /// The endpoint failed while running the request.
     EndpointFailed,
     /// The request took longer than its deadline.
     Deadline,
@@ -79,7 +79,7 @@
 
 impl ProblemKind {
     /// Returns the HTTP status, the name in the problem's `type`, and the title.
-    fn row(self) -> (u16, &'static str, &'static str) {
+    fn definition(self) -> (u16, &'static str, &'static str) {
         match self {
             Self::Malformed => (400, "malformed", "The request cannot be read"),
             Self::TooLarge => (413, "too-large", "The request is too large"),
@@ -105,12 +105,12 @@
 
     /// Returns the HTTP status.
     pub fn status(self) -> u16 {
-        self.row().0
+        self.definition().0
     }
 
     /// Returns the name in the problem's `type`.
     pub fn name(self) -> &'static str {
-        self.row().1
+        self.definition().1
     }
 }
 
@@ -123,15 +123,15 @@
 /// A refusal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Why.
+    /// Why the request is refused.
     pub kind: ProblemKind,
-    /// The particulars, for people.
+    /// A human-readable explanation.
     pub detail: String,
     /// Whether the request was run.
     pub ran: Ran,
-    /// When to come back.
+    /// How long to wait before a retry.
     pub retry: Option<Duration>,
-    /// Which router to go to instead, `ip:port`.
+    /// Which router to use instead, `ip:port`.
     pub instead: Option<String>,
 }
 
@@ -147,16 +147,16 @@
         }
     }
 
-    /// Adds when to come back.
-    pub fn retry_in(self, after: Duration) -> Self {
+    /// Sets the retry delay.
+    pub fn with_retry(self, after: Duration) -> Self {
         Self {
             retry: Some(after),
             ..self
         }
     }
 
-    /// Adds where to go instead.
-    pub fn go_to(self, address: Option<String>) -> Self {
+    /// Sets the router to use instead.
+    pub fn with_instead(self, address: Option<String>) -> Self {
         Self {
             instead: address,
             ..self
@@ -172,7 +172,7 @@
 
     /// Returns the body, `application/problem+json`.
     pub fn to_json(&self) -> Value {
-        let (status, name, title) = self.kind.row();
+        let (status, name, title) = self.kind.definition();
         let mut body = json!({
             "type": format!("urn:jasmineridge:problem:{name}"),
             "title": title,
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -1,4 +1,4 @@
-//! The wait for an endpoint.
+//! Queues of requests that wait for an endpoint.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use crate::router::request::State;
 
 impl Core {
-    /// Has a funded request wait for an endpoint.
+    /// Queues a funded request for an endpoint.
     pub(crate) fn enqueue(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -39,18 +39,18 @@
         match pool.queue.push(now, id, ticket) {
             Ok(place) => {
                 pool.places.insert(id, place);
-                self.pump(now, &name);
+                self.serve_queue(now, &name);
             }
             Err(full) => {
                 let detail = full.to_string();
                 let problem = Problem::new(ProblemKind::Overloaded, Ran::Unknown, &detail);
-                self.refuse_with(now, id, problem.retry_in(full.retry_after()));
+                self.refuse_with(now, id, problem.with_retry(full.retry_after()));
             }
         }
     }
 
-    /// Takes a request out of the queue.
-    pub(crate) fn unqueue(&mut self, now: Instant, id: RequestId) {
+    /// Removes a request from its pool's queue.
+    pub(crate) fn cancel_queued(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -62,22 +62,22 @@
         }
     }
 
-    /// Sends waiting requests on while endpoints have room.
-    pub(crate) fn pump(&mut self, now: Instant, name: &PoolId) {
+    /// Claims a pool's queued requests while endpoints have room for them.
+    pub(crate) fn serve_queue(&mut self, now: Instant, name: &PoolId) {
         while let Some((id, choice)) = self.next_with_room(now, name) {
             self.enter_endpoint(now, id, &choice);
             self.claim(now, id, choice.endpoint);
         }
     }
 
-    pub(crate) fn pump_all(&mut self, now: Instant) {
+    pub(crate) fn serve_all_queues(&mut self, now: Instant) {
         let names: Vec<_> = self.pools.keys().cloned().collect();
         for name in names {
-            self.pump(now, &name);
+            self.serve_queue(now, &name);
         }
     }
 
-    /// Refuses what the queues gave up on.
+    /// Refuses queued requests that waited past their deadline.
     pub(crate) fn expire_queues(&mut self, now: Instant) {
         let mut expired = Vec::new();
         for pool in self.pools.values_mut() {
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -23,9 +23,9 @@
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
-use crate::router::request::Stake;
+use crate::router::request::AnswerEnd;
+use crate::router::request::Reservation;
 use crate::router::request::State;
-use crate::router::request::Then;
 use crate::tokens::Tokens;
 
 /// When a caller whose endpoint failed may come back: the time that a failing endpoint takes to be ejected.
@@ -50,7 +50,7 @@
         request.state = State::Running {
             endpoint: endpoint.clone(),
             since: now,
-            first: None,
+            first_token: None,
         };
         let run = Run {
             endpoint: endpoint.clone(),
@@ -59,7 +59,7 @@
             team: request.team.clone(),
             limit: request.limit.0,
             priority: request.priority,
-            claim_wait: request.claimed.map_or(Duration::ZERO, |at| now - at),
+            claim_wait: request.claimed_at.map_or(Duration::ZERO, |at| now - at),
             idempotent: request.idempotent,
             relay: request.relay_run(),
         };
@@ -71,15 +71,15 @@
     pub(crate) fn started(&mut self, now: Instant, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && let State::Running {
-                first,
+                first_token,
                 since,
                 endpoint,
             } = &mut request.state
         {
-            if first.is_none() {
+            if first_token.is_none() {
                 info!(event = "first", request = %id, %endpoint, took_ms = (now - *since).as_millis());
             }
-            first.get_or_insert(now);
+            first_token.get_or_insert(now);
             self.prompt_read(now, id);
         }
     }
@@ -102,11 +102,11 @@
         }
         match end {
             RunEnd::Whole { usage } => {
-                self.bill(id, usage.total(), Outcome::Whole, Then::Release);
+                self.bill(id, usage.total(), Outcome::Whole, AnswerEnd::Withheld);
             }
             RunEnd::Answered { status, body } => {
                 let outcome = Outcome::Answered { status, body };
-                self.bill(id, price, outcome, Then::Release);
+                self.bill(id, price, outcome, AnswerEnd::Withheld);
             }
             RunEnd::NotRun { retry } => self.not_run(now, id, retry),
             RunEnd::Broken { usage, begun, .. } => self.broken(now, id, usage, begun),
@@ -116,7 +116,7 @@
     }
 
     /// Bills a request; the caller gets what is left for it when the bill is durable.
-    fn bill(&mut self, id: RequestId, used: Tokens, outcome: Outcome, then: Then) {
+    fn bill(&mut self, id: RequestId, used: Tokens, outcome: Outcome, answer_end: AnswerEnd) {
         let request = &mut self.requests[&id];
         // What broken runs used is the team's or the house's, as the deployment says; a bill never passes what was
         // reserved, so the house bears the rest.
@@ -126,7 +126,7 @@
         };
         let amount = used.saturating_add(wasted).min(request.reserve);
         let credit = request.reserve - amount;
-        request.state = State::Billing { then };
+        request.state = State::Billing { answer_end };
         let team = request.team.clone();
         let record = Record::Bill {
             key: request.key.clone(),
@@ -147,23 +147,23 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.stake = Stake::None;
-        let State::Billing { then } = &request.state else {
+        request.reservation = Reservation::None;
+        let State::Billing { answer_end } = &request.state else {
             self.finish(now, id);
             return;
         };
-        match (verdict, then) {
-            (Verdict::Accepted, Then::Release) => {
+        match (verdict, answer_end) {
+            (Verdict::Accepted, AnswerEnd::Withheld) => {
                 info!(event = "billed", request = %id);
                 self.effects.push(Effect::Release(id));
             }
-            (Verdict::Accepted, Then::Released | Then::Nothing) => {}
-            (_, Then::Release) => {
+            (Verdict::Accepted, AnswerEnd::Released | AnswerEnd::None) => {}
+            (_, AnswerEnd::Withheld) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
                 let detail = "the bill did not take effect; send it again to have it whole";
                 self.cut(id, detail);
             }
-            (_, Then::Released | Then::Nothing) => {
+            (_, AnswerEnd::Released | AnswerEnd::None) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
             }
         }
@@ -183,7 +183,7 @@
         }
         let detail = "no endpoint took the request";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-        let problem = problem.retry_in(retry.unwrap_or(FAILED_RETRY));
+        let problem = problem.with_retry(retry.unwrap_or(FAILED_RETRY));
         self.refuse_with(now, id, problem);
     }
 
@@ -192,7 +192,7 @@
     /// When many endpoints fail, each retry adds load where there is least room for it; without the budget, retries
     /// keep the rest down.
     pub(crate) fn try_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
-        let tries = self.requests[&id].tried.len();
+        let tries = self.requests[&id].failed_endpoints.len();
         if tries >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
             return false;
         }
@@ -215,7 +215,7 @@
             };
             let detail = "the service had the call when its connection broke; ask the service whether it took effect";
             self.refuse_running(id, ProblemKind::OutcomeUnknown, detail);
-            self.bill(id, charged, Outcome::Unknown, Then::Nothing);
+            self.bill(id, charged, Outcome::Unknown, AnswerEnd::None);
             return;
         }
         if !begun {
@@ -232,12 +232,12 @@
     /// Ends a request whose run failed and is not tried again; what it used is billed.
     fn fail(&mut self, id: RequestId, used: Tokens) {
         self.cut(id, "the endpoint failed before the answer was whole");
-        self.bill(id, used, Outcome::Cut, Then::Nothing);
+        self.bill(id, used, Outcome::Cut, AnswerEnd::None);
     }
 
     fn cut(&mut self, id: RequestId, detail: &str) {
         let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
-        let problem = problem.retry_in(FAILED_RETRY);
+        let problem = problem.with_retry(FAILED_RETRY);
         self.effects.push(Effect::Cut(id, Box::new(problem)));
     }
 
@@ -253,7 +253,7 @@
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
         match request.dispatched {
-            true => self.bill(id, Tokens::ZERO, Outcome::Cut, Then::Nothing),
+            true => self.bill(id, Tokens::ZERO, Outcome::Cut, AnswerEnd::None),
             false => self.abandon(now, id),
         }
     }
@@ -269,7 +269,7 @@
             // It goes on at the service, and its price is its price.
             (Work::Call { .. } | Work::Relay(_), _) => (request.reserve, Outcome::Cut),
         };
-        self.bill(id, used, outcome, Then::Nothing);
+        self.bill(id, used, outcome, AnswerEnd::None);
     }
 
     /// Gives up a request that can't be billed any more.
@@ -277,7 +277,7 @@
         let released = matches!(
             self.requests[&id].state,
             State::Billing {
-                then: Then::Released | Then::Nothing
+                answer_end: AnswerEnd::Released | AnswerEnd::None
             }
         );
         if !released {
@@ -300,7 +300,7 @@
             State::Running { .. } => {}
             State::Billing { .. } => {
                 self.requests[&id].state = State::Billing {
-                    then: Then::Nothing,
+                    answer_end: AnswerEnd::None,
                 };
             }
             _ => {
@@ -317,10 +317,10 @@
             return;
         };
         match request.state {
-            State::Queued => self.unqueue(now, id),
+            State::Queued => self.cancel_queued(now, id),
             State::Funding { .. } if request.relay.is_some() => {
                 let team = request.team.clone();
-                self.funds.forget(&team, id);
+                self.funds.remove_waiting(&team, id);
             }
             State::Claiming { .. } => self.free_endpoint(now, id),
             _ => {}
@@ -333,10 +333,10 @@
             return;
         };
         request.state = State::Abandoned;
-        match request.stake {
-            Stake::None | Stake::Funded => self.finish(now, id),
-            Stake::Pushed => {}
-            Stake::Held => self.release_claim(id),
+        match request.reservation {
+            Reservation::None | Reservation::Funded => self.finish(now, id),
+            Reservation::Pending => {}
+            Reservation::Claimed => self.release_claim(id),
         }
     }
 
@@ -345,15 +345,15 @@
         let Some(request) = self.requests.swap_remove(&id) else {
             return;
         };
-        let took = now.saturating_duration_since(request.arrived);
+        let took = now.saturating_duration_since(request.arrived_at);
         info!(event = "finished", request = %id, took_ms = took.as_millis());
         if let Some(terms) = &request.relay {
-            if request.stake == Stake::Funded {
+            if request.reservation == Reservation::Funded {
                 let (team, reserved) = (&request.team, request.reserve);
                 info!(event = "settled", request = %id, %team, %reserved, used = %terms.used);
                 self.funds.settle(team, reserved, terms.used);
             }
-        } else if request.stake == Stake::Funded
+        } else if request.reservation == Reservation::Funded
             && let Some(purse) = self.purses.get_mut(&request.team)
         {
             purse.settle(request.reserve);
@@ -398,26 +398,30 @@
                 let detail = "the wait for an endpoint outlasted the deadline";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
-            State::Funding { .. } if outage && now >= request.arrived + FUNDING_OUTAGE => {
+            State::Funding { .. } if outage && now >= request.arrived_at + FUNDING_OUTAGE => {
                 let detail = "the log service can't be reached, and this router holds too little of the budget";
                 let instead = self.other_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
-                self.refuse_with(now, id, problem.retry_in(OUTAGE_RETRY).go_to(instead));
+                self.refuse_with(
+                    now,
+                    id,
+                    problem.with_retry(OUTAGE_RETRY).with_instead(instead),
+                );
             }
             State::Claiming { .. } if past => {
                 let detail = "the log service did not take the claim in time";
                 self.refuse(now, id, ProblemKind::LogOutage, detail);
             }
-            State::Claiming { .. } => self.expire_unclaimed(now, id),
-            State::Proving { .. } => self.give_up_proof(now, id),
+            State::Claiming { .. } => self.refuse_unclaimable(now, id),
+            State::Proving { .. } => self.abandon_proof(now, id),
             _ => {}
         }
     }
 
     fn refuse_contended(&mut self, now: Instant, id: RequestId) {
-        let at = self.claimant(id).map(str::to_owned);
+        let at = self.claim_holder(id).map(str::to_owned);
         let detail = "another attempt of the request is in progress";
         let problem = Problem::new(ProblemKind::InProgress, Ran::Unknown, detail);
-        self.send_refusal(now, id, problem.retry_in(FAILED_RETRY).go_to(at));
+        self.send_refusal(now, id, problem.with_retry(FAILED_RETRY).with_instead(at));
     }
 }
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -22,7 +22,7 @@
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
 use crate::router::event::Entry;
-use crate::router::request::Stake;
+use crate::router::request::Reservation;
 use crate::router::request::State;
 
 /// How often the ledger is asked for where the log does not give it: a log that only stutters answers sooner.
@@ -79,8 +79,8 @@
     fn verdict(&mut self, now: Instant, ticket: Ticket, verdict: Verdict) {
         match ticket {
             Ticket::Open => self.opened(now, &verdict),
-            Ticket::Claim(id) => self.claim_verdict(now, id, verdict),
-            Ticket::Release(id) | Ticket::Refuse(id) => self.proof_verdict(now, id, &verdict),
+            Ticket::Claim(id) => self.apply_claim_verdict(now, id, verdict),
+            Ticket::Release(id) | Ticket::Refuse(id) => self.apply_proof_verdict(now, id, &verdict),
             Ticket::Bill {
                 request,
                 team,
@@ -236,12 +236,12 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.stake = Stake::None;
+        request.reservation = Reservation::None;
         match request.state {
             State::Contended => {}
             State::Funding { .. } => self.fund(now, id),
             State::Queued => {
-                self.unqueue(now, id);
+                self.cancel_queued(now, id);
                 self.fund(now, id);
             }
             State::Claiming { .. } if !request.dispatched => {
@@ -251,7 +251,7 @@
             State::Claiming { .. } | State::Running { .. } | State::Billing { .. } => {
                 self.lose(now, id);
             }
-            State::Proving { .. } => self.give_up_proof(now, id),
+            State::Proving { .. } => self.abandon_proof(now, id),
             State::Abandoned => self.finish(now, id),
         }
     }
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -1,4 +1,4 @@
-//! What waits for budget, and what comes of it: requests here, and other routers' questions for loans.
+//! Waiting for budget: requests at this router, and loan requests from other routers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,37 +13,37 @@
 use crate::router::funds::kept_open;
 use crate::tokens::Tokens;
 
-/// How long a request waits for a grant: a read and a write at a log that takes a hundred milliseconds each.
-const WAIT: Duration = Duration::from_millis(400);
+/// How long a request waits for a grant. Covers a read and a write of a log that takes a hundred milliseconds for each.
+const GRANT_WAIT: Duration = Duration::from_millis(400);
 
-/// How long another router's question for a loan waits: after a fifth of a second its sender has given up, and asks the next
+/// How long a loan request from another router waits. After a fifth of a second the sender gives up and asks the next
 /// owner.
 const LOAN_WAIT: Duration = Duration::from_millis(150);
 
-/// Why a request that waited for its budget can't have it.
+/// Why a request that waits for budget can't get it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unfunded {
-    /// What is left of the budget does not cover it.
+    /// The rest of the budget does not cover it.
     Spent,
-    /// Other routers hold what is left.
+    /// Other routers hold the rest.
     Held,
-    /// What is left is kept for more urgent requests.
+    /// The rest is kept for requests of higher priority.
     Kept,
-    /// The log can't be asked, and this router holds too little.
+    /// The log does not answer, and this router holds too little.
     Away,
 }
 
 impl Funds {
-    /// Has a request wait for a grant.
-    pub(crate) fn wait(&mut self, team: &TeamId, waiting: Waiting) {
+    /// Has a request or a loan request wait for budget.
+    pub(crate) fn push_waiting(&mut self, team: &TeamId, waiting: Waiting) {
         if let Some(allowance) = self.allowances.get_mut(team) {
             allowance.waiting.push_back(waiting);
         }
     }
 
-    /// Reserves for those that wait and can be covered now, and returns them and what they get. A small one may pass a large
-    /// one: the large one is refused if it can't be had, not the small one.
-    pub(crate) fn funded(&mut self, now: Instant) -> Vec<(Waiter, Tokens)> {
+    /// Reserves budget for the waiting requests that can be covered now, and returns them with their amounts. A small
+    /// request may overtake a large one: if the budget does not suffice, the large one is refused, not the small one.
+    pub(crate) fn fund_waiting(&mut self, now: Instant) -> Vec<(Waiter, Tokens)> {
         let mut funded = Vec::new();
         for team in self.waiting_teams() {
             let available = self.available(now, &team);
@@ -83,63 +83,63 @@
         funded
     }
 
-    /// Returns what those that wait for a team's budget lack: what they may cost together, and what must stay open for more
-    /// urgent ones, beyond what can be reserved now.
-    pub(super) fn missing(&self, now: Instant, team: &TeamId) -> Tokens {
+    /// Returns how much budget the waiting requests of a team lack: their maximum cost, plus what must stay available
+    /// for requests of higher priority, less what can be reserved now.
+    pub(super) fn shortfall(&self, now: Instant, team: &TeamId) -> Tokens {
         let away = self.away.is_some();
         let allowance = &self.allowances[team];
         let waiting = allowance.waiting.iter();
-        let kept = waiting.map(|one| kept_open(away, now, &allowance.ration, one.priority));
+        let kept = waiting.map(|waiting| kept_open(away, now, &allowance.ration, waiting.priority));
         let kept = kept.max().unwrap_or_default();
         let wanted = allowance.own_wanted().saturating_add(kept);
         wanted.saturating_sub(self.available(now, team))
     }
 
-    /// Returns the requests that can't have their budget, or not in time, and why.
-    pub(crate) fn unfunded(&mut self, now: Instant) -> Vec<(Waiter, Unfunded)> {
+    /// Removes the waiting requests that can't get their budget, or not in time, and returns them with the reason.
+    pub(crate) fn take_unfunded(&mut self, now: Instant) -> Vec<(Waiter, Unfunded)> {
         let mut unfunded = Vec::new();
         for team in self.waiting_teams() {
             let left = self.left(&team);
             let reach = self.reach(&team);
             let held = self.held(&team);
             let fresh = self.fresh;
-            let borrows = self.allowances[&team].loans.can_borrow(now);
+            let may_borrow = self.allowances[&team].loans.can_borrow(now);
             let away = self.failures > 0 || self.book.end().is_none();
             self.allowances[&team].waiting.retain(|waiting| {
-                let asked = fresh.is_some_and(|at| at + FRESH >= waiting.since);
-                let loan = matches!(waiting.who, Waiter::Loan(..));
-                if loan && now >= waiting.since + LOAN_WAIT {
+                let book_fresh = fresh.is_some_and(|at| at + FRESH >= waiting.since);
+                let is_loan = matches!(waiting.who, Waiter::Loan(..));
+                if is_loan && now >= waiting.since + LOAN_WAIT {
                     unfunded.push((waiting.who.clone(), Unfunded::Held));
                     return false;
                 }
-                if borrows {
+                if may_borrow {
                     return true;
                 }
-                let why = match waiting.amount {
-                    amount if asked && amount > left => Unfunded::Spent,
-                    amount if asked && amount > reach => Unfunded::Held,
-                    // What is held for it may be used within a moment.
-                    amount if amount <= held && now < waiting.since + WAIT => return true,
+                let reason = match waiting.amount {
+                    amount if book_fresh && amount > left => Unfunded::Spent,
+                    amount if book_fresh && amount > reach => Unfunded::Held,
+                    // Budget that is held here but not usable yet may become usable within moments.
+                    amount if amount <= held && now < waiting.since + GRANT_WAIT => return true,
                     _ if away => Unfunded::Away,
-                    _ if now >= waiting.since + WAIT => Unfunded::Held,
+                    _ if now >= waiting.since + GRANT_WAIT => Unfunded::Held,
                     _ => return true,
                 };
-                unfunded.push((waiting.who.clone(), why));
+                unfunded.push((waiting.who.clone(), reason));
                 false
             });
         }
         unfunded
     }
 
-    /// Takes a request out of those that wait.
-    pub(crate) fn forget(&mut self, team: &TeamId, request: RequestId) {
+    /// Removes a request from those that wait.
+    pub(crate) fn remove_waiting(&mut self, team: &TeamId, request: RequestId) {
         if let Some(allowance) = self.allowances.get_mut(team) {
-            let is_it = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
-            allowance.waiting.retain(|waiting| !is_it(&waiting.who));
+            let is_match = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
+            allowance.waiting.retain(|waiting| !is_match(&waiting.who));
         }
     }
 
-    /// Returns the teams for whose budget requests wait.
+    /// Returns the teams with requests that wait for their budget.
     pub(super) fn waiting_teams(&self) -> Vec<TeamId> {
         let waiting = self
             .allowances
