--- a/src/escrow/book.rs
+++ b/src/escrow/grant_state.rs
@@ -42,22 +42,22 @@
 struct TeamGrants {
     rows: IndexMap<(VmId, Incarnation), Entry>,
     /// What all lifetimes but this one may spend.
-    others_granted: Tokens,
+    granted_to_others: Tokens,
     /// What they are known to have spent.
-    others_spent: Tokens,
+    spent_by_others: Tokens,
 }
 
 impl TeamGrants {
     /// Takes in the newest record of a lifetime.
-    fn put(&mut self, holder: (VmId, Incarnation), entry: Entry, mine: bool) {
+    fn put(&mut self, holder: (VmId, Incarnation), entry: Entry, own: bool) {
         let new = entry.row;
         let old = self.rows.insert(holder, entry).map(|old| old.row);
         let old = old.unwrap_or_default();
-        if !mine {
-            self.others_granted = self.others_granted.saturating_add(new.granted);
-            self.others_granted -= old.granted;
-            self.others_spent = self.others_spent.saturating_add(new.spent);
-            self.others_spent -= old.spent;
+        if !own {
+            self.granted_to_others = self.granted_to_others.saturating_add(new.granted);
+            self.granted_to_others -= old.granted;
+            self.spent_by_others = self.spent_by_others.saturating_add(new.spent);
+            self.spent_by_others -= old.spent;
         }
     }
 }
@@ -68,30 +68,30 @@
 /// partition is known to have moved past that offset, what the append gives up counts as given up and what it takes
 /// counts as not taken.
 #[derive(Clone, Debug)]
-pub(crate) struct Book {
+pub(crate) struct GrantState {
     vm: VmId,
     me: Incarnation,
     /// The offset that follows the last record that was applied; nothing before the first read.
     end: Option<Offset>,
-    grants: IndexMap<TeamId, TeamGrants>,
+    teams: IndexMap<TeamId, TeamGrants>,
     /// The grants of earlier lifetimes on this VM.
-    earlier: IndexSet<(TeamId, Incarnation)>,
+    earlier_incarnations: IndexSet<(TeamId, Incarnation)>,
     pending: Option<Proposal>,
     /// Whether an answer to the pending append was lost, so that it may still take effect.
-    doubt: bool,
+    uncertain: bool,
 }
 
-impl Book {
+impl GrantState {
     /// Makes one that knows nothing, for a lifetime of the router on a VM.
     pub(crate) fn new(vm: VmId, me: Incarnation) -> Self {
         Self {
             vm,
             me,
             end: None,
-            grants: IndexMap::new(),
-            earlier: IndexSet::new(),
+            teams: IndexMap::new(),
+            earlier_incarnations: IndexSet::new(),
             pending: None,
-            doubt: false,
+            uncertain: false,
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether a grant is this lifetime's own.
-    pub(crate) fn is_mine(&self, key: &GrantKey) -> bool {
+    pub(crate) fn is_own(&self, key: &GrantKey) -> bool {
         key.router == self.me
     }
 
@@ -113,15 +113,16 @@
     /// Applies a record that was read, in any order; an older record of a key changes nothing.
     pub(crate) fn apply(&mut self, offset: Offset, key: &GrantKey, row: GrantRow) {
         let holder = (key.vm.clone(), key.router);
-        let mine = self.is_mine(key);
-        let grants = self.grants.entry(key.team.clone()).or_default();
+        let own = self.is_own(key);
+        let grants = self.teams.entry(key.team.clone()).or_default();
         let old = grants.rows.get(&holder);
         if old.is_some_and(|old| old.offset >= offset) {
             return;
         }
-        grants.put(holder, Entry { row, offset }, mine);
-        if key.vm == self.vm && !mine {
-            self.earlier.insert((key.team.clone(), key.router));
+        grants.put(holder, Entry { row, offset }, own);
+        if key.vm == self.vm && !own {
+            self.earlier_incarnations
+                .insert((key.team.clone(), key.router));
         }
     }
 
@@ -148,12 +149,12 @@
     {
         let at = self.end?;
         let fits = |change: &Change| {
-            let others = self.others(&change.team);
+            let others = self.granted_to_others(&change.team);
             others.saturating_add(change.row.granted) <= prepaid(&change.team)
                 || change.row.granted <= self.granted(&change.team)
         };
-        let untouched = self.untouched(start);
-        let idle = changes.is_empty() && untouched.is_empty();
+        let reclaimable = self.reclaimable(start);
+        let idle = changes.is_empty() && reclaimable.is_empty();
         if self.pending.is_some() || idle || !changes.iter().all(fits) {
             return None;
         }
@@ -162,15 +163,15 @@
             .map(|change| (self.key(change.team), change.row));
         let proposal = Proposal {
             at,
-            records: records.chain(untouched).collect(),
+            records: records.chain(reclaimable).collect(),
         };
         self.pending = Some(proposal.clone());
-        self.doubt = false;
+        self.uncertain = false;
         Some(proposal)
     }
 
     /// Takes the log's word that the pending proposal was appended, and returns what it was.
-    pub(crate) fn landed(&mut self, at: Offset) -> Vec<(GrantKey, GrantRow)> {
+    pub(crate) fn confirm(&mut self, at: Offset) -> Vec<(GrantKey, GrantRow)> {
         let Some(pending) = self.pending.take_if(|p| p.at == at) else {
             return Vec::new();
         };
@@ -184,14 +185,14 @@
     }
 
     /// Takes note that nobody knows whether the pending proposal was appended.
-    pub(crate) fn lost(&mut self, at: Offset) {
-        self.doubt |= self.pending.as_ref().is_some_and(|p| p.at == at);
+    pub(crate) fn mark_uncertain(&mut self, at: Offset) {
+        self.uncertain |= self.pending.as_ref().is_some_and(|p| p.at == at);
     }
 
     /// Takes the log's word that it did nothing about the pending proposal. Where an earlier answer about it was lost, that
     /// earlier append may still take effect, and the proposal stays.
-    pub(crate) fn refused(&mut self, at: Offset) {
-        if !self.doubt {
+    pub(crate) fn reject(&mut self, at: Offset) {
+        if !self.uncertain {
             self.pending.take_if(|p| p.at == at);
         }
     }
@@ -203,20 +204,20 @@
 
     /// Returns what this lifetime may spend of a team's budget in all, whatever becomes of what is pending.
     pub(crate) fn granted(&self, team: &TeamId) -> Tokens {
-        let stands = self.row(team).granted;
+        let current = self.row(team).granted;
         match self.proposed(team) {
-            Some(row) => stands.min(row.granted),
-            None => stands,
+            Some(row) => current.min(row.granted),
+            None => current,
         }
     }
 
     /// Returns how much of what it was granted of a team's budget this lifetime may have in use at a moment, whatever becomes
     /// of what is pending.
     pub(crate) fn open(&self, team: &TeamId, at: &ClockReading) -> Tokens {
-        let stands = self.row(team).open(at);
+        let current = self.row(team).open(at);
         match self.proposed(team) {
-            Some(row) => stands.min(row.open(at)),
-            None => stands,
+            Some(row) => current.min(row.open(at)),
+            None => current,
         }
     }
 
@@ -225,12 +226,12 @@
     ///
     /// The lifetime that wrote such a grant is over, or this one would not run on its VM. An append of it that is still on
     /// its way takes effect before this one's, which then fails for its condition and is reckoned anew, or never.
-    fn untouched(&self, start: &ClockReading) -> Vec<(GrantKey, GrantRow)> {
-        let mut untouched = Vec::new();
-        for (team, router) in &self.earlier {
+    fn reclaimable(&self, start: &ClockReading) -> Vec<(GrantKey, GrantRow)> {
+        let mut reclaimable = Vec::new();
+        for (team, router) in &self.earlier_incarnations {
             let row = self.row_of(team, *router);
-            let touched = row.open(start);
-            if touched >= row.granted {
+            let max_spent = row.open(start);
+            if max_spent >= row.granted {
                 continue;
             }
             let key = GrantKey {
@@ -240,38 +241,40 @@
             };
             // The promise stays: more is given back once more clocks tell how little time passed.
             let row = GrantRow {
-                granted: touched,
+                granted: max_spent,
                 ..row
             };
-            untouched.push((key, row));
+            reclaimable.push((key, row));
         }
-        untouched
+        reclaimable
     }
 
     /// Returns the most that this lifetime's grant may be, whatever becomes of what is pending.
-    fn at_most(&self, team: &TeamId) -> Tokens {
-        let stands = self.row(team).granted;
+    fn max_granted(&self, team: &TeamId) -> Tokens {
+        let current = self.row(team).granted;
         match self.proposed(team) {
-            Some(row) => stands.max(row.granted),
-            None => stands,
+            Some(row) => current.max(row.granted),
+            None => current,
         }
     }
 
     /// Returns what all other lifetimes may spend of a team's budget.
-    pub(crate) fn others(&self, team: &TeamId) -> Tokens {
-        let grants = self.grants.get(team);
-        grants.map_or(Tokens::ZERO, |grants| grants.others_granted)
+    pub(crate) fn granted_to_others(&self, team: &TeamId) -> Tokens {
+        let grants = self.teams.get(team);
+        grants.map_or(Tokens::ZERO, |grants| grants.granted_to_others)
     }
 
     /// Returns what all other lifetimes are known to have spent; they may have spent more.
-    pub(crate) fn others_spent(&self, team: &TeamId) -> Tokens {
-        let grants = self.grants.get(team);
-        grants.map_or(Tokens::ZERO, |grants| grants.others_spent)
+    pub(crate) fn spent_by_others(&self, team: &TeamId) -> Tokens {
+        let grants = self.teams.get(team);
+        grants.map_or(Tokens::ZERO, |grants| grants.spent_by_others)
     }
 
     /// Returns what is granted to no one.
     pub(crate) fn undrawn(&self, team: &TeamId, prepaid: Tokens) -> Tokens {
-        let held = self.others(team).saturating_add(self.at_most(team));
+        let held = self
+            .granted_to_others(team)
+            .saturating_add(self.max_granted(team));
         prepaid.saturating_sub(held)
     }
 
@@ -282,7 +285,7 @@
 
     fn proposed(&self, team: &TeamId) -> Option<GrantRow> {
         let pending = self.pending.as_ref()?;
-        let own = |key: &GrantKey| self.is_mine(key) && key.team == *team;
+        let own = |key: &GrantKey| self.is_own(key) && key.team == *team;
         let record = pending.records.iter().find(|(key, _)| own(key));
         record.map(|(_, row)| *row)
     }
@@ -290,7 +293,7 @@
     /// Returns the grant of a lifetime on this VM as it stands in the log.
     fn row_of(&self, team: &TeamId, router: Incarnation) -> GrantRow {
         let holder = (self.vm.clone(), router);
-        let grants = self.grants.get(team);
+        let grants = self.teams.get(team);
         let entry = grants.and_then(|grants| grants.rows.get(&holder));
         entry.map_or_else(GrantRow::default, |entry| entry.row)
     }
--- a/src/escrow/mod.rs
+++ b/src/escrow/mod.rs
@@ -7,15 +7,15 @@
 //! have spent is given back by who starts after it on the same VM. How long it may have lived is told by the steady clock of
 //! the VM's boot, and after a loss of power by the time of day, with an allowance for its having been set back.
 
-mod book;
+mod grant_state;
 mod pace;
 mod record;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use book::Book;
-pub(crate) use book::Change;
-pub(crate) use book::Proposal;
+pub(crate) use grant_state::Change;
+pub(crate) use grant_state::GrantState;
+pub(crate) use grant_state::Proposal;
 pub(crate) use pace::Pace;
 pub(crate) use record::GrantKey;
 pub(crate) use record::GrantRow;
--- a/src/escrow/tests/mod.rs
+++ b/src/escrow/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The model check of grants, with the real book, and its records.
+//! The model check of grants, with the real grant state, and its records.
 
 mod record;
 mod world;
--- a/src/escrow/tests/world.rs
+++ b/src/escrow/tests/world.rs
@@ -4,10 +4,10 @@
 
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::escrow::Book;
 use crate::escrow::Change;
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
+use crate::escrow::GrantState;
 use crate::escrow::Pace;
 use crate::escrow::Proposal;
 use crate::explore::Model;
@@ -95,7 +95,7 @@
 
 #[derive(Clone, Debug)]
 struct Router {
-    book: Book,
+    book: GrantState,
     life: u64,
     spent: u64,
     lent: u64,
@@ -147,7 +147,7 @@
 impl Router {
     fn new(at: usize, life: u64, start: ClockReading) -> Self {
         Self {
-            book: Book::new(vm(at), Incarnation(10 * at as u64 + life)),
+            book: GrantState::new(vm(at), Incarnation(10 * at as u64 + life)),
             life,
             spent: 0,
             lent: 0,
@@ -356,7 +356,7 @@
         let router = &mut self.routers[call.router];
         // The answer to a lifetime that is over, or that was lost, is heard by nobody.
         if !call.lost && router.life == call.life && holds {
-            router.book.landed(at);
+            router.book.confirm(at);
         }
     }
 
@@ -370,8 +370,8 @@
             return;
         }
         match forgets {
-            true => router.book.refused(at),
-            false => router.book.lost(at),
+            true => router.book.reject(at),
+            false => router.book.mark_uncertain(at),
         }
     }
 
--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -13,9 +13,9 @@
 use crate::decide::HoldingPolicy;
 use crate::decide::Lean;
 use crate::decide::Ration;
-use crate::escrow::Book;
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
+use crate::escrow::GrantState;
 use crate::ids::Incarnation;
 use crate::ids::TeamId;
 use crate::ids::VmId;
@@ -76,7 +76,7 @@
 /// What a router may spend.
 #[derive(Debug)]
 pub(crate) struct Funds {
-    pub(super) book: Book,
+    pub(super) grants: GrantState,
     pub(super) allowances: IndexMap<TeamId, Allowance>,
     pub(super) policy: HoldingPolicy,
     /// Whether a call is on its way.
@@ -91,7 +91,7 @@
     pub(super) others: Others,
     /// No call before this.
     rest: Instant,
-    /// When the book was last known to be up to date.
+    /// When the grants were last known to be up to date.
     pub(super) fresh: Option<Instant>,
     /// When grants were last brought to what the policy wants.
     pub(super) reviewed: Option<Instant>,
@@ -115,7 +115,7 @@
         clock: BootClock,
     ) -> Self {
         Self {
-            book: Book::new(vm, me),
+            grants: GrantState::new(vm, me),
             allowances: IndexMap::new(),
             policy: HoldingPolicy::covering(COVER, held_for(lean)),
             busy: false,
@@ -173,7 +173,7 @@
 
     /// Returns whether the grants were ever read.
     pub(crate) fn known(&self) -> bool {
-        self.book.end().is_some()
+        self.grants.end().is_some()
     }
 
     /// Reserves what a request may cost; a team without a limit needs no reservation.
@@ -221,9 +221,9 @@
         match event {
             GrantEvent::Read { rows, end } => {
                 for (offset, key, row) in rows {
-                    self.book.apply(offset, &key, row);
+                    self.grants.apply(offset, &key, row);
                 }
-                self.book.advance(end);
+                self.grants.advance(end);
                 self.behind = false;
                 self.answered(now);
             }
@@ -232,7 +232,7 @@
                 self.gone();
             }
             GrantEvent::Landed(at) => {
-                let records = self.book.landed(at);
+                let records = self.grants.confirm(at);
                 self.note_grants(&records);
                 self.answered(now);
             }
@@ -241,11 +241,11 @@
                 self.reached();
             }
             GrantEvent::Refused(at) => {
-                self.book.refused(at);
+                self.grants.reject(at);
                 self.failed(now);
             }
             GrantEvent::Lost(at) => {
-                self.book.lost(at);
+                self.grants.mark_uncertain(at);
                 self.failed(now);
             }
             GrantEvent::Unread => self.failed(now),
@@ -257,7 +257,7 @@
         let waits = self.allowances.values().any(|a| !a.waiting.is_empty());
         let reviews = self.is_review_due(now);
         let leaves = self.stay == Stay::Leaving;
-        let unsettled = self.behind || leaves || self.book.pending().is_some() || !self.known();
+        let unsettled = self.behind || leaves || self.grants.pending().is_some() || !self.known();
         waits || !self.low.is_empty() || !self.busy && now >= self.rest && (reviews || unsettled)
     }
 
@@ -272,13 +272,13 @@
     }
 
     fn next_call(&mut self, now: Instant) -> Option<Effect> {
-        let Some(end) = self.book.end() else {
+        let Some(end) = self.grants.end() else {
             return Some(Effect::ReadGrants(None));
         };
         if self.behind {
             return Some(Effect::ReadGrants(Some(end)));
         }
-        if let Some(pending) = self.book.pending() {
+        if let Some(pending) = self.grants.pending() {
             return Some(Effect::ProposeGrants(pending.clone()));
         }
         // What is given up to a log that does not answer could not be handed over.
@@ -308,7 +308,7 @@
         let start = self.clock.start(now);
         let allowances = &self.allowances;
         let prepaid = |team: &TeamId| allowances.get(team).map_or(Tokens::ZERO, |p| p.prepaid);
-        if let Some(proposal) = self.book.propose(changes, &start, prepaid) {
+        if let Some(proposal) = self.grants.propose(changes, &start, prepaid) {
             return Some(Effect::ProposeGrants(proposal));
         }
         // What others gave back since may cover those that wait.
@@ -318,14 +318,14 @@
     /// Reads all anew: the log let go of records that were not read.
     fn gone(&mut self) {
         warn!(event = "grants-gone");
-        self.book.restart();
+        self.grants.restart();
     }
 
     /// Logs the grants that stand from now on: who reads the logs sees from them where a budget lies, and which part of a dead
     /// lifetime's grant stays lost: what was in use, what could be used at once, and what opened for the time that passed.
     fn note_grants(&self, records: &[(GrantKey, GrantRow)]) {
         for (key, row) in records {
-            match self.book.is_mine(key) {
+            match self.grants.is_own(key) {
                 true => self.note_granted(&key.team, row),
                 false => note_given_back(key, row),
             }
@@ -376,7 +376,7 @@
 
     /// Returns what can be reserved now.
     pub(super) fn available(&self, now: Instant, team: &TeamId) -> Tokens {
-        self.free_of(team, self.book.open(team, &self.clock.own(now)))
+        self.free_of(team, self.grants.open(team, &self.clock.own(now)))
     }
 
     /// Returns what a request of a priority can reserve now.
@@ -390,7 +390,7 @@
 
     /// Returns what is held and not in use, though it may not all be used at once.
     pub(super) fn held(&self, team: &TeamId) -> Tokens {
-        self.free_of(team, self.book.granted(team))
+        self.free_of(team, self.grants.granted(team))
     }
 
     /// Returns what is left of a part of a grant.
@@ -406,14 +406,14 @@
             .get(team)
             .map_or(Tokens::ZERO, |p| p.prepaid);
         self.held(team)
-            .saturating_add(self.book.undrawn(team, prepaid))
+            .saturating_add(self.grants.undrawn(team, prepaid))
     }
 
     /// Returns the most that can be left of a team's budget, by all that is known to be used.
     pub(super) fn left(&self, team: &TeamId) -> Tokens {
         self.allowances.get(team).map_or(Tokens::ZERO, |allowance| {
             let here = allowance.spent.saturating_add(allowance.reserved);
-            let used = here.saturating_add(self.book.others_spent(team));
+            let used = here.saturating_add(self.grants.spent_by_others(team));
             let in_transit = match self.ownership.is_everyone() {
                 true => Tokens::ZERO,
                 false => Tokens(allowance.prepaid.0 / IN_TRANSIT),
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -104,7 +104,7 @@
             let held = self.held(&team);
             let fresh = self.fresh;
             let borrows = self.allowances[&team].loans.may_bring(now);
-            let away = self.failures > 0 || self.book.end().is_none();
+            let away = self.failures > 0 || self.grants.end().is_none();
             self.allowances[&team].waiting.retain(|waiting| {
                 let asked = fresh.is_some_and(|at| at + FRESH >= waiting.since);
                 let loan = matches!(waiting.who, Waiter::Loan(..));
