--- a/src/escrow/grant_state.rs
+++ b/src/escrow/grant_state.rs
@@ -14,7 +14,7 @@
 
 /// One team's new grant to this router.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Change {
+pub(crate) struct GrantChange {
     /// The team.
     pub(crate) team: TeamId,
     /// What the grant is to be.
@@ -140,7 +140,7 @@
     /// never read, or the sum would pass a team's `prepaid`.
     pub(crate) fn propose<F>(
         &mut self,
-        changes: Vec<Change>,
+        changes: Vec<GrantChange>,
         start: &ClockReading,
         prepaid: F,
     ) -> Option<Proposal>
@@ -148,7 +148,7 @@
         F: Fn(&TeamId) -> Tokens,
     {
         let at = self.end?;
-        let fits = |change: &Change| {
+        let fits = |change: &GrantChange| {
             let others = self.granted_to_others(&change.team);
             others.saturating_add(change.row.granted) <= prepaid(&change.team)
                 || change.row.granted <= self.granted(&change.team)
@@ -213,10 +213,10 @@
 
     /// Returns how much of what it was granted of a team's budget this lifetime may have in use at a moment, whatever becomes
     /// of what is pending.
-    pub(crate) fn open(&self, team: &TeamId, at: &ClockReading) -> Tokens {
-        let current = self.row(team).open(at);
+    pub(crate) fn usable_at(&self, team: &TeamId, at: &ClockReading) -> Tokens {
+        let current = self.row(team).usable_at(at);
         match self.proposed(team) {
-            Some(row) => current.min(row.open(at)),
+            Some(row) => current.min(row.usable_at(at)),
             None => current,
         }
     }
@@ -230,7 +230,7 @@
         let mut reclaimable = Vec::new();
         for (team, router) in &self.earlier_incarnations {
             let row = self.row_of(team, *router);
-            let max_spent = row.open(start);
+            let max_spent = row.usable_at(start);
             if max_spent >= row.granted {
                 continue;
             }
--- a/src/escrow/mod.rs
+++ b/src/escrow/mod.rs
@@ -8,15 +8,15 @@
 //! the VM's boot, and after a loss of power by the time of day, with an allowance for its having been set back.
 
 mod grant_state;
-mod pace;
 mod record;
+mod spend_pace;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use grant_state::Change;
+pub(crate) use grant_state::GrantChange;
 pub(crate) use grant_state::GrantState;
 pub(crate) use grant_state::Proposal;
-pub(crate) use pace::Pace;
 pub(crate) use record::GrantKey;
 pub(crate) use record::GrantRow;
 pub(crate) use record::RecordError;
+pub(crate) use spend_pace::SpendPace;
--- a/src/escrow/record.rs
+++ b/src/escrow/record.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::escrow::Pace;
+use crate::escrow::SpendPace;
 use crate::ids::Incarnation;
 use crate::ids::TeamId;
 use crate::ids::VmId;
@@ -15,7 +15,7 @@
 use crate::tokens::Tokens;
 
 /// Separates the parts of a key; names have no control characters.
-const SEPARATOR: char = '\t';
+const KEY_SEPARATOR: char = '\t';
 
 /// Tells why a record is none of a grant.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 impl fmt::Display for GrantKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { vm, router, team } = self;
-        write!(f, "{vm}{SEPARATOR}{router}{SEPARATOR}{team}")
+        write!(f, "{vm}{KEY_SEPARATOR}{router}{KEY_SEPARATOR}{team}")
     }
 }
 
@@ -50,7 +50,7 @@
     type Err = RecordError;
 
     fn from_str(text: &str) -> Result<Self, RecordError> {
-        let parts: Vec<_> = text.split(SEPARATOR).collect();
+        let parts: Vec<_> = text.split(KEY_SEPARATOR).collect();
         let key = match parts[..] {
             [vm, router, team] => vm
                 .parse()
@@ -72,17 +72,17 @@
     /// What it had spent when it wrote this; it may have spent more since, up to the grant.
     pub(crate) spent: Tokens,
     /// How fast it will spend the grant, if it promises anything.
-    pub(crate) pace: Option<Pace>,
+    pub(crate) pace: Option<SpendPace>,
 }
 
 /// The code of an option that holds nothing.
-const NOTHING: u8 = 0;
+const NONE_TAG: u8 = 0;
 
 impl GrantRow {
     /// Returns how much of it may be in use at a moment.
-    pub(crate) fn open(&self, at: &ClockReading) -> Tokens {
-        let open = self.pace.and_then(|pace| pace.open(at));
-        open.map_or(self.granted, |open| open.min(self.granted))
+    pub(crate) fn usable_at(&self, at: &ClockReading) -> Tokens {
+        let usable = self.pace.and_then(|pace| pace.usable_at(at));
+        usable.map_or(self.granted, |usable| usable.min(self.granted))
     }
 
     /// Returns it as a record's value.
@@ -100,8 +100,8 @@
     ///
     /// When the value is no grant.
     pub(crate) fn decode(value: &[u8]) -> Result<Self, RecordError> {
-        let shorter = |_| postcard::from_bytes(&[value, &[NOTHING]].concat());
-        let row = postcard::from_bytes(value).or_else(shorter);
+        let padded = |_| postcard::from_bytes(&[value, &[NONE_TAG]].concat());
+        let row = postcard::from_bytes(value).or_else(padded);
         row.map_err(|error: postcard::Error| RecordError::Value(error.to_string()))
     }
 }
--- a/src/escrow/pace.rs
+++ b/src/escrow/spend_pace.rs
@@ -20,7 +20,7 @@
 
 /// A promise about how fast a grant will be spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Pace {
+pub(crate) struct SpendPace {
     /// When it was made.
     pub(crate) made: Moment,
     /// How much of the grant was in use then: spent, reserved and lent, less what was borrowed.
@@ -34,19 +34,19 @@
     pub(crate) fleet: Option<Span>,
 }
 
-impl Pace {
+impl SpendPace {
     /// Returns how much may be in use at a moment; nothing is known of moments before the promise, or after another boot.
-    pub(crate) fn open(&self, at: &ClockReading) -> Option<Tokens> {
+    pub(crate) fn usable_at(&self, at: &ClockReading) -> Option<Tokens> {
         let made = ClockReading {
             own: self.made,
             fleet: self.fleet,
             awaited: false,
         };
         let passed = at.since(&made)?;
-        Some(self.open_after(passed))
+        Some(self.usable_after(passed))
     }
 
-    fn open_after(&self, passed: Duration) -> Tokens {
+    fn usable_after(&self, passed: Duration) -> Tokens {
         let at_once = self.used.saturating_add(self.room);
         at_once.saturating_add(self.rate.over(passed))
     }
--- a/src/escrow/tests/record.rs
+++ b/src/escrow/tests/record.rs
@@ -4,8 +4,8 @@
 
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
-use crate::escrow::Pace;
 use crate::escrow::RecordError;
+use crate::escrow::SpendPace;
 use crate::ids::Incarnation;
 use crate::moment::BootId;
 use crate::moment::HostId;
@@ -28,7 +28,7 @@
         uptime: Duration::from_millis(1234),
         wall: Duration::from_secs(1_800_000_000),
     };
-    let pace = Pace {
+    let pace = SpendPace {
         made,
         used: Tokens(6),
         room: Tokens(1),
@@ -39,7 +39,7 @@
         earliest: Duration::from_secs(1_800_000_000),
         latest: Duration::from_secs(1_800_000_001),
     };
-    let told = Pace {
+    let told = SpendPace {
         fleet: Some(span),
         ..pace
     };
--- a/src/escrow/tests/world.rs
+++ b/src/escrow/tests/world.rs
@@ -4,12 +4,12 @@
 
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::escrow::Change;
+use crate::escrow::GrantChange;
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
 use crate::escrow::GrantState;
-use crate::escrow::Pace;
 use crate::escrow::Proposal;
+use crate::escrow::SpendPace;
 use crate::explore::Model;
 use crate::ids::Incarnation;
 use crate::ids::Offset;
@@ -278,10 +278,15 @@
         let router = &self.routers[at];
         let (book, now) = (&router.book, self.now(at));
         let open = match self.left_out {
-            Some(Rule::GivenUp) => book.row(&team()).granted.min(book.row(&team()).open(&now)),
+            Some(Rule::GivenUp) => book
+                .row(&team())
+                .granted
+                .min(book.row(&team()).usable_at(&now)),
             Some(Rule::Promise) => book.granted(&team()),
-            Some(Rule::PendingPromise) => book.granted(&team()).min(book.row(&team()).open(&now)),
-            _ => book.open(&team(), &now),
+            Some(Rule::PendingPromise) => {
+                book.granted(&team()).min(book.row(&team()).usable_at(&now))
+            }
+            _ => book.usable_at(&team(), &now),
         };
         let lent = match self.lacks(Rule::LentOnce) {
             true => 0,
@@ -294,12 +299,12 @@
         let generous = self.lacks(Rule::Others);
         let now = self.now(at);
         let router = &self.routers[at];
-        let change = granted.map(|granted| Change {
+        let change = granted.map(|granted| GrantChange {
             team: team(),
             row: GrantRow {
                 granted: Tokens(granted),
                 spent: Tokens(router.spent),
-                pace: self.paced.then(|| Pace {
+                pace: self.paced.then(|| SpendPace {
                     made: now.own,
                     used: Tokens(router.in_use()),
                     room: Tokens(ROOM),
--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -376,7 +376,7 @@
 
     /// Returns what can be reserved now.
     pub(super) fn available(&self, now: Instant, team: &TeamId) -> Tokens {
-        self.free_of(team, self.grants.open(team, &self.clock.own(now)))
+        self.free_of(team, self.grants.usable_at(team, &self.clock.own(now)))
     }
 
     /// Returns what a request of a priority can reserve now.
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -9,9 +9,9 @@
 use crate::decide::Opening;
 use crate::decide::Share;
 use crate::decide::TEAM_OWNERS;
-use crate::escrow::Change;
+use crate::escrow::GrantChange;
 use crate::escrow::GrantRow;
-use crate::escrow::Pace;
+use crate::escrow::SpendPace;
 use crate::ids::TeamId;
 use crate::router::allowance::Allowance;
 use crate::router::funds::COVER;
@@ -104,7 +104,7 @@
 
     /// Returns the grants that the policy wants changed, and those whose promise is to be written anew: all that changed at a
     /// review, and those that keep a request waiting.
-    pub(super) fn changes(&self, now: Instant, due: bool) -> Vec<Change> {
+    pub(super) fn changes(&self, now: Instant, due: bool) -> Vec<GrantChange> {
         if !self.ownership.knows_routers() {
             return Vec::new();
         }
@@ -118,7 +118,7 @@
                 return None;
             }
             let opening = self.opening(now, team, allowance, granted);
-            let promise = Pace {
+            let promise = SpendPace {
                 made: made.own,
                 used: allowance.in_use(),
                 room: allowance.wanted().saturating_add(opening.room),
@@ -136,7 +136,7 @@
             };
             let covered = allowance.wanted() <= self.held(team);
             let change = granted != old || renewed && (due || covered);
-            change.then(|| Change {
+            change.then(|| GrantChange {
                 team: team.clone(),
                 row,
             })
@@ -235,14 +235,20 @@
     ///
     /// One of a budget that nobody asks for opens all the same. Never written anew, it would strand all that had opened since
     /// if the router died.
-    fn is_outdated(&self, now: Instant, team: &TeamId, allowance: &Allowance, new: &Pace) -> bool {
+    fn is_outdated(
+        &self,
+        now: Instant,
+        team: &TeamId,
+        allowance: &Allowance,
+        new: &SpendPace,
+    ) -> bool {
         let row = self.grants.row(team);
         let Some(old) = row.pace else {
             return row.granted > Tokens::ZERO;
         };
         let rate = old.rate.0.abs_diff(new.rate.0) as f64;
         let rate_changed = rate > old.rate.0 as f64 * RATE_CHANGE;
-        let open = self.grants.open(team, &self.clock.own(now));
+        let open = self.grants.usable_at(team, &self.clock.own(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
         let outgrown =
             opened > new.rate.over(LONGEST_OPENING) && allowance.is_worth_writing(opened);
