--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -90,7 +90,7 @@
             return;
         };
         if let Some(purse) = self.purses.get_mut(&request.team) {
-            purse.settle(request.reserve);
+            purse.end_debit(request.reserve);
         }
         match verdict {
             Verdict::Accepted => {
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -39,11 +39,11 @@
 use crate::router::event::AdminId;
 use crate::router::event::Event;
 use crate::router::funds::Funds;
+use crate::router::ledger_budget::LedgerBudget;
 use crate::router::members::Members;
 use crate::router::orders::Orders;
 use crate::router::outage::Outage;
 use crate::router::pool::Pool;
-use crate::router::purse::Purse;
 use crate::router::request::Request;
 use crate::router::table_watch::TableWatch;
 use crate::settings::EndMarker;
@@ -163,7 +163,7 @@
     pub(crate) active: IndexMap<RequestKey, RequestId>,
     /// Requests that wait for another attempt's end.
     pub(crate) contended: Vec<RequestId>,
-    pub(crate) purses: IndexMap<TeamId, Purse>,
+    pub(crate) purses: IndexMap<TeamId, LedgerBudget>,
     pub(crate) policy: HoldingPolicy,
     /// What was asked for here.
     pub(crate) demand: IndexMap<TeamId, Demand>,
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -58,8 +58,8 @@
         let team = request.team.clone();
         let reserve = request.reserve;
         self.note_demand(now, &team, reserve);
-        let purse = self.purses.entry(team.clone()).or_default();
-        purse.waiting.push_back(id);
+        let budget = self.purses.entry(team.clone()).or_default();
+        budget.waiting.push_back(id);
         self.fund_team(now, &team);
     }
 
@@ -68,7 +68,7 @@
         let teams: Vec<_> = self
             .purses
             .iter()
-            .filter(|(_, purse)| !purse.waiting.is_empty())
+            .filter(|(_, budget)| !budget.waiting.is_empty())
             .map(|(team, _)| team.clone())
             .collect();
         for team in teams {
@@ -79,11 +79,11 @@
     /// Reserves for those that wait for a team's budget, and draws for the rest.
     fn fund_team(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
-        let Some(purse) = self.purses.get_mut(team) else {
+        let Some(budget) = self.purses.get_mut(team) else {
             return;
         };
         let mut funded = Vec::new();
-        for id in std::mem::take(&mut purse.waiting) {
+        for id in std::mem::take(&mut budget.waiting) {
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
@@ -91,12 +91,12 @@
                 continue;
             }
             // A small request may pass a large one: the large one is refused if it can't be had, not the small one.
-            if purse.available(free) >= request.reserve {
-                purse.promise(request.reserve);
+            if budget.available(free) >= request.reserve {
+                budget.debit(request.reserve);
                 request.stake = Stake::Funded;
                 funded.push(id);
             } else {
-                purse.waiting.push_back(id);
+                budget.waiting.push_back(id);
             }
         }
         for id in funded {
@@ -110,17 +110,17 @@
     /// Were all of them drawn for at once, a draw for more than is left would not be made at all, and a request that what
     /// is left covers would wait for its deadline behind one that it does not.
     fn draw_for_waiting(&mut self, now: Instant, team: &TeamId) {
-        let Some(purse) = self.purses.get(team) else {
+        let Some(budget) = self.purses.get(team) else {
             return;
         };
         let free = self.ledger.holding(self.me, team).free;
         let state = self.ledger.team(team);
         let undrawn = state.map_or(Tokens::ZERO, |t| t.undrawn());
-        let reach = undrawn.saturating_add(purse.available(free));
+        let reach = undrawn.saturating_add(budget.available(free));
         let mut wanted = Tokens::ZERO;
         let mut missing = Tokens::ZERO;
         let mut short = Vec::new();
-        for id in &purse.waiting {
+        for id in &budget.waiting {
             let Some(request) = self.requests.get(id) else {
                 continue;
             };
@@ -131,7 +131,7 @@
                 short.push(*id);
             }
         }
-        let idle = purse.available(free);
+        let idle = budget.available(free);
         if wanted > Tokens::ZERO {
             self.adjust(now, team, wanted);
         } else if undrawn > Tokens::ZERO {
@@ -152,13 +152,13 @@
         let holding = self.ledger.holding(self.me, team);
         let mine = holding.free + holding.claimed;
         let held = self.ledger.team(team).map_or(Tokens::ZERO, |t| t.held());
-        let Some(purse) = self.purses.get_mut(team) else {
+        let Some(budget) = self.purses.get_mut(team) else {
             return;
         };
-        if purse.drawing || held <= mine {
+        if budget.drawing || held <= mine {
             return;
         }
-        purse.drawing = true;
+        budget.drawing = true;
         let record = Record::Draw {
             team: team.clone(),
             want: wanted,
@@ -205,12 +205,12 @@
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
         let demand = self.demand_of(now, team);
         let reachable = !self.in_outage(now);
-        let purse = self.purses.entry(team.clone()).or_default();
-        if purse.drawing {
+        let budget = self.purses.entry(team.clone()).or_default();
+        if budget.drawing {
             return;
         }
         let share = Share {
-            free: purse.available(holding.free),
+            free: budget.available(holding.free),
             claimed: holding.claimed,
             undrawn,
             routers,
@@ -222,7 +222,7 @@
         match self.policy.decide(&share) {
             Action::None => {}
             Action::Draw(want) => {
-                purse.drawing = true;
+                budget.drawing = true;
                 let record = Record::Draw {
                     team: team.clone(),
                     want,
@@ -237,7 +237,7 @@
         if amount == Tokens::ZERO {
             return;
         }
-        self.purses.entry(team.clone()).or_default().promise(amount);
+        self.purses.entry(team.clone()).or_default().debit(amount);
         let record = Record::Return {
             team: team.clone(),
             amount,
@@ -247,8 +247,8 @@
     }
 
     pub(crate) fn draw_verdict(&mut self, now: Instant, team: &TeamId, verdict: &Verdict) {
-        let purse = self.purses.entry(team.clone()).or_default();
-        purse.drawing = false;
+        let budget = self.purses.entry(team.clone()).or_default();
+        budget.drawing = false;
         if let Verdict::Granted(amount) = verdict {
             info!(event = "drawn", %team, %amount);
         }
@@ -275,17 +275,17 @@
     fn release_idle(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
         let demand = self.demand_of(now, team);
-        let Some(purse) = self.purses.get(team) else {
+        let Some(budget) = self.purses.get(team) else {
             if free > Tokens::ZERO {
                 self.give_back(team, free);
             }
             return;
         };
-        let idle = purse.available(free);
+        let idle = budget.available(free);
         // What the next second is likely to need stays, lest the tokens go round in circles. But where a request waits, what
         // lies here is too little for it: were it kept, each router would hold a part of what one request needs, and all
         // would refuse.
-        let keep = match purse.waiting.is_empty() {
+        let keep = match budget.waiting.is_empty() {
             true => Tokens(demand as u64).min(Tokens(idle.0 / 2)),
             false => Tokens::ZERO,
         };
@@ -340,7 +340,8 @@
         }
         let me = self.me;
         let ledger = &self.ledger;
-        self.purses
-            .retain(|team, purse| !purse.idle() || ledger.holding(me, team).free > Tokens::ZERO);
+        self.purses.retain(|team, budget| {
+            !budget.is_settled() || ledger.holding(me, team).free > Tokens::ZERO
+        });
     }
 }
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -356,7 +356,7 @@
         } else if request.stake == Stake::Funded
             && let Some(purse) = self.purses.get_mut(&request.team)
         {
-            purse.settle(request.reserve);
+            purse.end_debit(request.reserve);
         }
         if self.active.get(&request.key) == Some(&id) {
             self.active.swap_remove(&request.key);
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -87,14 +87,14 @@
                 credit,
             } => {
                 if let Some(purse) = self.purses.get_mut(&team) {
-                    purse.uncredit(credit);
+                    purse.end_credit(credit);
                 }
                 self.bill_verdict(now, request, &verdict);
             }
             Ticket::Draw(team) => self.draw_verdict(now, &team, &verdict),
             Ticket::Return(team, amount) => {
                 if let Some(purse) = self.purses.get_mut(&team) {
-                    purse.settle(amount);
+                    purse.end_debit(amount);
                 }
             }
             Ticket::TopUp(id, _) => self.top_up_verdict(id, &verdict),
--- a/src/router/tests/purse.rs
+++ b/src/router/tests/purse.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::quickcheck;
 
-use crate::router::purse::Purse;
+use crate::router::ledger_budget::LedgerBudget;
 use crate::tokens::Tokens;
 
 quickcheck! {
@@ -10,14 +10,14 @@
     /// between it is never more than the ledger's word and the credits together.
     fn what_goes_in_comes_out(free: u32, steps: Vec<(bool, u16)>) -> bool {
         let free = Tokens(u64::from(free));
-        let mut purse = Purse::default();
+        let mut purse = LedgerBudget::default();
         let mut promised = Tokens::ZERO;
         let mut credit = Tokens::ZERO;
         for (is_credit, amount) in &steps {
             let amount = Tokens(u64::from(*amount));
             match is_credit {
                 true => { purse.credit(amount); credit += amount; }
-                false => { purse.promise(amount); promised += amount; }
+                false => { purse.debit(amount); promised += amount; }
             }
             let right = free.saturating_add(credit).saturating_sub(promised);
             if purse.available(free) != right {
@@ -27,10 +27,10 @@
         for (is_credit, amount) in steps.iter().rev() {
             let amount = Tokens(u64::from(*amount));
             match is_credit {
-                true => purse.uncredit(amount),
-                false => purse.settle(amount),
+                true => purse.end_credit(amount),
+                false => purse.end_debit(amount),
             }
         }
-        purse.available(free) == free && purse.idle()
+        purse.available(free) == free && purse.is_settled()
     }
 }
