--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -20,12 +20,12 @@
 use crate::ids::TeamId;
 use crate::ids::VmId;
 use crate::moment::BootClock;
-use crate::router::allowance::Allowance;
 use crate::router::effect::Effect;
 use crate::router::effect::Peer;
 use crate::router::event::GrantEvent;
 use crate::router::event::Heartbeat;
 use crate::router::fleet_clock::FleetClock;
+use crate::router::grant_budget::GrantBudget;
 use crate::router::ownership::Ownership;
 use crate::router::rationing::Others;
 use crate::router::review::Stay;
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub(crate) struct Funds {
     pub(super) grants: GrantState,
-    pub(super) allowances: IndexMap<TeamId, Allowance>,
+    pub(super) budgets: IndexMap<TeamId, GrantBudget>,
     pub(super) policy: HoldingPolicy,
     /// Whether a call is on its way.
     busy: bool,
@@ -116,7 +116,7 @@
     ) -> Self {
         Self {
             grants: GrantState::new(vm, me),
-            allowances: IndexMap::new(),
+            budgets: IndexMap::new(),
             policy: HoldingPolicy::covering(COVER, held_for(lean)),
             busy: false,
             behind: false,
@@ -158,14 +158,14 @@
             let Some(prepaid) = payer.prepaid else {
                 continue;
             };
-            if !self.allowances.contains_key(&payer.team) {
+            if !self.budgets.contains_key(&payer.team) {
                 self.ownership.add(&payer.team);
             }
-            let allowance = self.allowances.entry(payer.team.clone());
-            let allowance = allowance.or_insert_with(|| Allowance::new(now));
-            if prepaid > allowance.prepaid {
+            let budget = self.budgets.entry(payer.team.clone());
+            let budget = budget.or_insert_with(|| GrantBudget::new(now));
+            if prepaid > budget.prepaid {
                 info!(event = "prepaid", team = %payer.team, %prepaid);
-                allowance.prepaid = prepaid;
+                budget.prepaid = prepaid;
                 self.reviewed = None;
             }
         }
@@ -186,32 +186,32 @@
     ) -> Reserve {
         let available = self.open_to(now, team, priority);
         let rest = self.remainder(now, team);
-        let Some(allowance) = self.allowances.get_mut(team) else {
+        let Some(budget) = self.budgets.get_mut(team) else {
             return Reserve::Done;
         };
         if amount == Tokens::ZERO {
             return Reserve::Done;
         }
-        allowance.expect(now, priority, amount);
-        if !allowance.ration.pays(now, &rest, priority, amount) {
+        budget.record_demand(now, priority, amount);
+        if !budget.ration.pays(now, &rest, priority, amount) {
             return Reserve::Kept;
         }
         if available < amount {
             return Reserve::Short;
         }
-        allowance.reserved += amount;
-        allowance.gave(now, amount);
+        budget.reserved += amount;
+        budget.record_given(now, amount);
         self.note_low(now, team, available - amount);
         Reserve::Done
     }
 
     /// Ends a reservation with what was used of it.
     pub(crate) fn settle(&mut self, team: &TeamId, reserved: Tokens, used: Tokens) {
-        if let Some(allowance) = self.allowances.get_mut(team) {
+        if let Some(budget) = self.budgets.get_mut(team) {
             let used = used.min(reserved);
-            allowance.reserved -= reserved;
-            allowance.spent += used;
-            allowance.learn(reserved, used);
+            budget.reserved -= reserved;
+            budget.spent += used;
+            budget.update_averages(reserved, used);
         }
     }
 
@@ -254,7 +254,7 @@
 
     /// Returns whether there is anything to ask the log or other routers for.
     pub(crate) fn is_due(&self, now: Instant) -> bool {
-        let waits = self.allowances.values().any(|a| !a.waiting.is_empty());
+        let waits = self.budgets.values().any(|a| !a.waiting.is_empty());
         let reviews = self.is_review_due(now);
         let leaves = self.stay == Stay::Leaving;
         let unsettled = self.behind || leaves || self.grants.pending().is_some() || !self.known();
@@ -306,8 +306,8 @@
             self.reviewed = Some(now);
         }
         let start = self.clock.start(now);
-        let allowances = &self.allowances;
-        let prepaid = |team: &TeamId| allowances.get(team).map_or(Tokens::ZERO, |p| p.prepaid);
+        let budgets = &self.budgets;
+        let prepaid = |team: &TeamId| budgets.get(team).map_or(Tokens::ZERO, |p| p.prepaid);
         if let Some(proposal) = self.grants.propose(changes, &start, prepaid) {
             return Some(Effect::ProposeGrants(proposal));
         }
@@ -335,9 +335,9 @@
     fn note_granted(&self, team: &TeamId, row: &GrantRow) {
         let promised = row.pace.map(|pace| (pace.used, pace.room, pace.rate));
         let (used, room, rate) = promised.unwrap_or_default();
-        let moved = self.allowances.get(team).map(|allowance| {
-            let loans = &allowance.loans;
-            (allowance.reserved, loans.lent(), loans.borrowed())
+        let moved = self.budgets.get(team).map(|budget| {
+            let loans = &budget.loans;
+            (budget.reserved, loans.lent(), loans.borrowed())
         });
         let (reserved, lent, borrowed) = moved.unwrap_or_default();
         info!(
@@ -376,53 +376,50 @@
 
     /// Returns what can be reserved now.
     pub(super) fn available(&self, now: Instant, team: &TeamId) -> Tokens {
-        self.free_of(team, self.grants.usable_at(team, &self.clock.own(now)))
+        self.remaining(team, self.grants.usable_at(team, &self.clock.own(now)))
     }
 
     /// Returns what a request of a priority can reserve now.
     pub(super) fn open_to(&self, now: Instant, team: &TeamId, priority: u8) -> Tokens {
         let away = self.away.is_some();
-        let allowance = self.allowances.get(team);
-        let kept = allowance.map(|a| kept_open(away, now, &a.ration, priority));
+        let budget = self.budgets.get(team);
+        let kept = budget.map(|a| kept_open(away, now, &a.ration, priority));
         self.available(now, team)
             .saturating_sub(kept.unwrap_or_default())
     }
 
     /// Returns what is held and not in use, though it may not all be used at once.
     pub(super) fn held(&self, team: &TeamId) -> Tokens {
-        self.free_of(team, self.grants.granted(team))
+        self.remaining(team, self.grants.granted(team))
     }
 
     /// Returns what is left of a part of a grant.
-    fn free_of(&self, team: &TeamId, granted: Tokens) -> Tokens {
-        let allowance = self.allowances.get(team);
-        allowance.map_or(Tokens::ZERO, |allowance| allowance.free_of(granted))
+    fn remaining(&self, team: &TeamId, granted: Tokens) -> Tokens {
+        let budget = self.budgets.get(team);
+        budget.map_or(Tokens::ZERO, |budget| budget.remaining(granted))
     }
 
     /// Returns the most that this router could reserve if it drew all that is undrawn.
     pub(super) fn reach(&self, team: &TeamId) -> Tokens {
-        let prepaid = self
-            .allowances
-            .get(team)
-            .map_or(Tokens::ZERO, |p| p.prepaid);
+        let prepaid = self.budgets.get(team).map_or(Tokens::ZERO, |p| p.prepaid);
         self.held(team)
             .saturating_add(self.grants.undrawn(team, prepaid))
     }
 
     /// Returns the most that can be left of a team's budget, by all that is known to be used.
     pub(super) fn left(&self, team: &TeamId) -> Tokens {
-        self.allowances.get(team).map_or(Tokens::ZERO, |allowance| {
-            let here = allowance.spent.saturating_add(allowance.reserved);
+        self.budgets.get(team).map_or(Tokens::ZERO, |budget| {
+            let here = budget.spent.saturating_add(budget.reserved);
             let used = here.saturating_add(self.grants.spent_by_others(team));
             let in_transit = match self.ownership.is_everyone() {
                 true => Tokens::ZERO,
-                false => Tokens(allowance.prepaid.0 / IN_TRANSIT),
+                false => Tokens(budget.prepaid.0 / IN_TRANSIT),
             };
-            allowance
+            budget
                 .prepaid
                 .saturating_sub(used)
                 .saturating_add(in_transit)
-                .min(allowance.prepaid)
+                .min(budget.prepaid)
         })
     }
 }
--- a/src/router/allowance.rs
+++ b/src/router/grant_budget.rs
@@ -15,24 +15,24 @@
 use crate::tokens::Tokens;
 
 /// The time over which a team's demand is averaged: as long as the bursts that one team makes.
-const WINDOW: Duration = Duration::from_secs(5);
+const DEMAND_WINDOW: Duration = Duration::from_secs(5);
 
 /// The part of a reservation that is thought to be used before any request is over: prompts are mostly longer than
 /// answers, and answers mostly shorter than allowed.
-const FIRST_PART: f64 = 0.8;
+const INITIAL_USED_RATIO: f64 = 0.8;
 
 /// The weight of the newest request in averages: some thirty requests, a second or two of a busy team.
-const PART_WEIGHT: f64 = 0.03;
+const AVERAGE_WEIGHT: f64 = 0.03;
 
 /// What part of a mean request is not worth a write. Steps of a few tokens go back and forth for ever, since a part of
 /// them can't be given back.
-const TRIFLE: f64 = 0.05;
+const NEGLIGIBLE_RATIO: f64 = 0.05;
 
 /// What part of a mean request is worth a write though nobody waits.
-const WORTH_WRITING: f64 = 0.25;
+const WORTHWHILE_RATIO: f64 = 0.25;
 
 /// A large request counts for so many in these averages at most.
-const LARGE: f64 = 4.0;
+const MAX_SIZE_FACTOR: f64 = 4.0;
 
 /// Who waits for budget.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
 
 /// One team's budget, as far as this router spends it.
 #[derive(Debug)]
-pub(crate) struct Allowance {
+pub(crate) struct GrantBudget {
     /// All that the team may ever use.
     pub(crate) prepaid: Tokens,
     /// Promised to requests in progress.
@@ -66,21 +66,21 @@
     /// What it is asked for, by priority, by callers here and at routers that borrow.
     pub(crate) ration: Ration,
     /// What it is asked for by callers here.
-    own: Demand,
+    own_demand: Demand,
     /// What is promised and lent of it, whoever asked.
-    flow: Demand,
+    outflow: Demand,
     /// All that callers here have asked for so far.
     pub(crate) asked: Tokens,
     borrowers: Borrowers,
     /// The part of reservations that is used, and the mean reservation, of late.
-    pub(crate) part: f64,
-    pub(crate) size: f64,
+    pub(crate) used_ratio: f64,
+    pub(crate) mean_reservation: f64,
     /// When it was first used.
-    pub(crate) first: Option<Instant>,
+    pub(crate) first_used: Option<Instant>,
     pub(crate) loans: Loans,
 }
 
-impl Allowance {
+impl GrantBudget {
     /// Makes one of which nothing is prepaid yet.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
@@ -88,62 +88,62 @@
             reserved: Tokens::ZERO,
             spent: Tokens::ZERO,
             waiting: VecDeque::new(),
-            ration: Ration::new(WINDOW),
-            own: Demand::new(now, WINDOW),
-            flow: Demand::new(now, WINDOW),
+            ration: Ration::new(DEMAND_WINDOW),
+            own_demand: Demand::new(now, DEMAND_WINDOW),
+            outflow: Demand::new(now, DEMAND_WINDOW),
             asked: Tokens::ZERO,
             borrowers: Borrowers::default(),
-            part: FIRST_PART,
-            size: 1.0,
-            first: None,
+            used_ratio: INITIAL_USED_RATIO,
+            mean_reservation: 1.0,
+            first_used: None,
             loans: Loans::default(),
         }
     }
 
     /// Returns how fast the budget is asked for here, by callers and by routers that borrow, in tokens a second.
     pub(crate) fn rate(&self, now: Instant) -> f64 {
-        self.seen_whole(now, self.ration.rate(now))
+        self.scale_to_window(now, self.ration.rate(now))
     }
 
     /// Returns a rate as it would be had its average seen all of its window.
     ///
     /// An average that began with nothing a second ago has seen a fifth of the rate; without the correction, a cut in the
     /// first seconds would find grants that are far too small.
-    fn seen_whole(&self, now: Instant, rate: f64) -> f64 {
-        let first = self.first.unwrap_or(now);
-        rate / decide::seen(now, first, WINDOW)
+    fn scale_to_window(&self, now: Instant, rate: f64) -> f64 {
+        let first = self.first_used.unwrap_or(now);
+        rate / decide::seen(now, first, DEMAND_WINDOW)
     }
 
     /// Returns how fast it goes to those that ask for it, in tokens a second. Of a budget that runs low that is less than they
     /// ask for: those that are refused come back and ask again.
-    pub(crate) fn flow_rate(&self, now: Instant) -> f64 {
-        self.seen_whole(now, self.flow.rate(now))
+    pub(crate) fn outflow_rate(&self, now: Instant) -> f64 {
+        self.scale_to_window(now, self.outflow.rate(now))
     }
 
     /// Counts what a request or a borrower was given.
-    pub(crate) fn gave(&mut self, now: Instant, amount: Tokens) {
-        let used = amount.0 as f64 * self.part;
-        self.flow.add(now, Tokens(used as u64));
+    pub(crate) fn record_given(&mut self, now: Instant, amount: Tokens) {
+        let used = amount.0 as f64 * self.used_ratio;
+        self.outflow.add(now, Tokens(used as u64));
     }
 
     /// Returns how fast callers here ask for it, in tokens a second.
     pub(crate) fn own_rate(&self, now: Instant) -> f64 {
-        self.seen_whole(now, self.own.rate(now))
+        self.scale_to_window(now, self.own_demand.rate(now))
     }
 
     /// Counts a request among the demand, as what requests of its size used of late. Counted when it ends, a stream of
     /// seconds would be missing in the first seconds of a demand.
-    pub(crate) fn expect(&mut self, now: Instant, priority: u8, amount: Tokens) {
-        self.first.get_or_insert(now);
-        let used = Tokens((amount.0 as f64 * self.part) as u64);
+    pub(crate) fn record_demand(&mut self, now: Instant, priority: u8, amount: Tokens) {
+        self.first_used.get_or_insert(now);
+        let used = Tokens((amount.0 as f64 * self.used_ratio) as u64);
         self.ration.expect(now, priority, used);
-        self.own.add(now, used);
+        self.own_demand.add(now, used);
         self.asked = self.asked.saturating_add(used);
     }
 
     /// Counts what a borrower's callers asked for since its last question, of which each of so many owners is asked a part.
-    pub(crate) fn expect_loan(&mut self, now: Instant, ask: &LoanAsk, owners: u64) {
-        self.first.get_or_insert(now);
+    pub(crate) fn record_loan_demand(&mut self, now: Instant, ask: &LoanAsk, owners: u64) {
+        self.first_used.get_or_insert(now);
         let new = self.borrowers.ask(ask.borrower, ask.asked, ask.amount);
         let part = Tokens(new.0 / owners.max(1));
         self.ration.expect(now, ask.priority, part);
@@ -163,44 +163,45 @@
     }
 
     /// Learns what part of its reservation a request used.
-    pub(crate) fn learn(&mut self, reserved: Tokens, used: Tokens) {
+    pub(crate) fn update_averages(&mut self, reserved: Tokens, used: Tokens) {
         if reserved > Tokens::ZERO {
-            let weight = PART_WEIGHT * (reserved.0 as f64 / self.size).min(LARGE);
-            self.part += (used.0 as f64 / reserved.0 as f64 - self.part) * weight;
-            self.size += (reserved.0 as f64 - self.size) * PART_WEIGHT;
+            let weight =
+                AVERAGE_WEIGHT * (reserved.0 as f64 / self.mean_reservation).min(MAX_SIZE_FACTOR);
+            self.used_ratio += (used.0 as f64 / reserved.0 as f64 - self.used_ratio) * weight;
+            self.mean_reservation += (reserved.0 as f64 - self.mean_reservation) * AVERAGE_WEIGHT;
         }
     }
 
     /// Returns whether an amount is not worth a write: nobody waits for it here, and it helps no request elsewhere.
-    pub(crate) fn is_trifle(&self, amount: Tokens) -> bool {
-        self.waiting.is_empty() && (amount.0 as f64) < self.size * TRIFLE
+    pub(crate) fn is_negligible(&self, amount: Tokens) -> bool {
+        self.waiting.is_empty() && (amount.0 as f64) < self.mean_reservation * NEGLIGIBLE_RATIO
     }
 
     /// Returns whether an amount would be missed, were it lost.
     pub(crate) fn is_worth_writing(&self, amount: Tokens) -> bool {
-        amount.0 as f64 >= self.size * WORTH_WRITING
+        amount.0 as f64 >= self.mean_reservation * WORTHWHILE_RATIO
     }
 
     /// Returns what was spent here, and lent to others, which spend it without a word to the log.
-    fn taken(&self) -> Tokens {
+    fn spent_or_lent(&self) -> Tokens {
         self.spent.saturating_add(self.loans.lent())
     }
 
     /// Returns how much of the grant is gone: taken, less what was borrowed.
-    pub(crate) fn gone(&self) -> Tokens {
-        self.taken().saturating_sub(self.loans.borrowed())
+    pub(crate) fn net_spent(&self) -> Tokens {
+        self.spent_or_lent().saturating_sub(self.loans.borrowed())
     }
 
     /// Returns how much of the grant is in use: taken or reserved, less what was borrowed.
     pub(crate) fn in_use(&self) -> Tokens {
-        let held = self.reserved.saturating_add(self.taken());
+        let held = self.reserved.saturating_add(self.spent_or_lent());
         held.saturating_sub(self.loans.borrowed())
     }
 
     /// Returns what is left of a part of the grant, with what was borrowed.
-    pub(crate) fn free_of(&self, granted: Tokens) -> Tokens {
+    pub(crate) fn remaining(&self, granted: Tokens) -> Tokens {
         let mine = granted.saturating_add(self.loans.borrowed());
-        mine.saturating_sub(self.reserved.saturating_add(self.taken()))
+        mine.saturating_sub(self.reserved.saturating_add(self.spent_or_lent()))
     }
 
     /// Returns how urgent the most urgent one is that waits, 0 being first.
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -38,7 +38,7 @@
                 continue;
             }
             let left = self.left(&team);
-            let allowance = &mut self.allowances[&team];
+            let allowance = &mut self.budgets[&team];
             let needed = allowance.own_wanted();
             if needed == Tokens::ZERO {
                 continue;
@@ -67,8 +67,8 @@
     pub(crate) fn ask_again(&mut self, now: Instant) -> Vec<Effect> {
         let ownership = &self.ownership;
         let answers = |peer: &Peer| !ownership.is_mute(now, &peer.vm);
-        let allowances = self.allowances.values_mut();
-        allowances
+        let budgets = self.budgets.values_mut();
+        budgets
             .filter_map(|allowance| allowance.loans.ask_again(now, answers))
             .collect()
     }
@@ -82,14 +82,14 @@
         }
         // What was borrowed can't go back to the log.
         let parted = self.failures > 0;
-        let teams = self.allowances.keys();
+        let teams = self.budgets.keys();
         let teams = teams.filter(|team| parted || !self.ownership.owners(team).is_empty());
         let teams: Vec<_> = teams.cloned().collect();
         let mut effects = Vec::new();
         for team in teams {
             let idle = self.available(now, &team);
             if idle > Tokens::ZERO {
-                let loans = &mut self.allowances[&team].loans;
+                let loans = &mut self.budgets[&team].loans;
                 let heirs = self.others.heirs(&team);
                 effects.extend(loans.give(me, &team, idle, &heirs));
             }
@@ -100,7 +100,7 @@
     /// Takes in what another router hands over.
     pub(crate) fn given(&mut self, gift: &Gift) {
         info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
-        if let Some(allowance) = self.allowances.get_mut(&gift.team) {
+        if let Some(allowance) = self.budgets.get_mut(&gift.team) {
             allowance.loans.take(gift);
         }
     }
@@ -108,7 +108,7 @@
     /// Notes that another router has what was handed over to it, or that nobody knows.
     pub(crate) fn taken(&mut self, gift: &Gift, taken: bool) {
         info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
-        if let Some(allowance) = self.allowances.get_mut(&gift.team) {
+        if let Some(allowance) = self.budgets.get_mut(&gift.team) {
             allowance.loans.gave();
         }
     }
@@ -125,7 +125,7 @@
     /// Lends what is idle here of a budget that each router keeps for itself.
     fn lend_idle(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
         let free = self.available(now, &ask.team);
-        let Some(allowance) = self.allowances.get_mut(&ask.team) else {
+        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
         let keep = Tokens((allowance.rate(now) * KEPT.as_secs_f64()) as u64);
@@ -140,7 +140,7 @@
     /// Takes in what another router lent, or that it did not answer.
     pub(crate) fn lent(&mut self, now: Instant, ask: &LoanAsk, amount: Option<Tokens>) {
         info!(event = "borrowed", number = ask.number, team = %ask.team, asked = %ask.amount, amount = ?amount.map(|a| a.0));
-        if let Some(allowance) = self.allowances.get_mut(&ask.team) {
+        if let Some(allowance) = self.budgets.get_mut(&ask.team) {
             let asked = allowance.loans.lent_here(now, ask, amount);
             if let Some(peer) = asked.filter(|_| amount.is_none()) {
                 self.ownership.silent(now, &peer);
@@ -150,7 +150,7 @@
 
     /// Returns what others should know of this router's budgets: what lies idle here, and how fast it is asked for.
     pub(crate) fn words(&self, now: Instant) -> Vec<PurseWord> {
-        let kept = self.allowances.iter();
+        let kept = self.budgets.iter();
         let kept = kept.filter(|(team, _)| self.ownership.owners(team).is_empty());
         let words = kept.map(|(team, allowance)| PurseWord {
             team: team.clone(),
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -2,7 +2,6 @@
 //! round it, in the module `edge`.
 
 mod admin;
-mod allowance;
 mod appender;
 mod arrive;
 mod checkpoint;
@@ -17,6 +16,7 @@
 mod fleet_clock;
 mod fund;
 mod funds;
+mod grant_budget;
 mod grants;
 mod isolation;
 mod ledger_budget;
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -6,13 +6,13 @@
 use crate::decide::TEAM_OWNERS;
 use crate::ids::Incarnation;
 use crate::ids::TeamId;
-use crate::router::allowance::Allowance;
-use crate::router::allowance::Waiter;
-use crate::router::allowance::Waiting;
 use crate::router::effect::Effect;
 use crate::router::event::AdminId;
 use crate::router::event::LoanAsk;
 use crate::router::funds::Funds;
+use crate::router::grant_budget::GrantBudget;
+use crate::router::grant_budget::Waiter;
+use crate::router::grant_budget::Waiting;
 use crate::router::lending::KEPT;
 use crate::router::loans::Wanted;
 use crate::tokens::Tokens;
@@ -27,12 +27,12 @@
 /// The priority of a loan that no request waits for.
 const LEAST_URGENT: u8 = 9;
 
-impl Allowance {
+impl GrantBudget {
     /// Returns what callers here ask for while a loan is on its way, where it takes so long that several of them come.
     fn loan_demand(&self, now: Instant) -> Tokens {
         let time = (self.loans.took() * AHEAD).min(KEPT / 2);
         let demand = self.own_rate(now) * time.as_secs_f64();
-        match demand > self.size {
+        match demand > self.mean_reservation {
             true => Tokens(demand as u64),
             false => Tokens::ZERO,
         }
@@ -52,7 +52,7 @@
             return None;
         }
         let left = self.left(team);
-        let allowance = &mut self.allowances[team];
+        let allowance = &mut self.budgets[team];
         // Where answers take long, each further request would wait as long for the next one.
         let ahead = (allowance.loans.took() * AHEAD).min(KEPT);
         let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
@@ -68,7 +68,7 @@
     /// Takes note of a team of which so little is left here that it would run out before a loan comes.
     pub(super) fn note_low(&mut self, now: Instant, team: &TeamId, rest: Tokens) {
         let borrows = !self.ownership.owners(team).is_empty();
-        let allowance = &self.allowances[team];
+        let allowance = &self.budgets[team];
         if borrows && rest < allowance.loan_demand(now) && allowance.waiting.is_empty() {
             self.low.insert(team.clone());
         }
@@ -81,7 +81,7 @@
             let left = self.left(&team);
             let rest = self.available(now, &team);
             let owners = self.ownership.answering(now, &team);
-            let allowance = &mut self.allowances[&team];
+            let allowance = &mut self.budgets[&team];
             let demand = allowance.loan_demand(now);
             let aim = demand.saturating_add(demand);
             let amount = aim.saturating_sub(rest).min(left);
@@ -106,10 +106,10 @@
             return Vec::new();
         }
         self.gave_back = Some(now);
-        let teams: Vec<_> = self.allowances.keys().cloned().collect();
+        let teams: Vec<_> = self.budgets.keys().cloned().collect();
         let mut effects = Vec::new();
         for team in teams {
-            let allowance = &self.allowances[&team];
+            let allowance = &self.budgets[&team];
             let borrowed = allowance.loans.borrowed() > allowance.loans.lent();
             if !borrowed || !allowance.waiting.is_empty() {
                 continue;
@@ -117,7 +117,7 @@
             let kept = Tokens((allowance.own_rate(now) * KEPT.as_secs_f64()) as u64);
             let idle = self.available(now, &team);
             let owners = self.ownership.answering(now, &team);
-            let allowance = &mut self.allowances[&team];
+            let allowance = &mut self.budgets[&team];
             if idle > kept {
                 effects.extend(allowance.loans.give_owner(now, me, &team, idle, &owners));
             }
@@ -128,7 +128,7 @@
     /// Returns whether others keep a team's budget for this router, and one of them may have some of it.
     pub(super) fn is_owned_elsewhere(&self, now: Instant, team: &TeamId) -> bool {
         let owners = self.ownership.answering(now, team);
-        let allowance = self.allowances.get(team);
+        let allowance = self.budgets.get(team);
         allowance.is_some_and(|allowance| allowance.loans.may_ask_owner(now, &owners))
     }
 
@@ -142,13 +142,13 @@
         let open = self.open_to(now, &ask.team, ask.priority);
         let rest = self.remainder(now, &ask.team);
         let away = self.failures > 0;
-        let Some(allowance) = self.allowances.get_mut(&ask.team) else {
+        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Some(Tokens::ZERO);
         };
         if let Some(answer) = allowance.loans.answered(ask) {
             return Some(answer);
         }
-        allowance.expect_loan(now, ask, TEAM_OWNERS as u64);
+        allowance.record_loan_demand(now, ask, TEAM_OWNERS as u64);
         if allowance.join_waiting(id, ask) {
             return None;
         }
@@ -171,14 +171,14 @@
     /// Lends as much of what is asked for as is open now; the rest may lie at another owner.
     pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
         let open = self.open_to(now, &ask.team, ask.priority);
-        let Some(allowance) = self.allowances.get_mut(&ask.team) else {
+        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
         if let Some(answer) = allowance.loans.answered(ask) {
             return answer;
         }
         let lent = allowance.loans.lend(ask, open);
-        allowance.gave(now, lent);
+        allowance.record_given(now, lent);
         lent
     }
 }
--- a/src/router/rationing.rs
+++ b/src/router/rationing.rs
@@ -182,7 +182,7 @@
     /// Returns how fast a team's budget is asked for in the whole fleet, in tokens a second. Owners count what borrowers'
     /// callers ask for.
     fn team_demand(&self, now: Instant, team: &TeamId) -> f64 {
-        let here = self.allowances.get(team).map_or(0.0, |a| a.rate(now));
+        let here = self.budgets.get(team).map_or(0.0, |a| a.rate(now));
         let others = self.others.demand(team);
         match self.ownership.owners(team).is_empty() {
             true => here + others,
@@ -200,10 +200,7 @@
     ///
     /// A budget that is simply used up is used to its end, by whoever asks: kept back, its last part would serve nobody.
     fn is_mostly_lost(&self, team: &TeamId, reach: Tokens) -> bool {
-        let prepaid = self
-            .allowances
-            .get(team)
-            .map_or(Tokens::ZERO, |a| a.prepaid);
+        let prepaid = self.budgets.get(team).map_or(Tokens::ZERO, |a| a.prepaid);
         let lost = self.left(team).saturating_sub(reach);
         lost > reach && lost.0 > prepaid.0 / LOST
     }
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -13,9 +13,9 @@
 use crate::escrow::GrantRow;
 use crate::escrow::SpendPace;
 use crate::ids::TeamId;
-use crate::router::allowance::Allowance;
 use crate::router::funds::COVER;
 use crate::router::funds::Funds;
+use crate::router::grant_budget::GrantBudget;
 use crate::tokens::Tokens;
 
 /// A promise is written anew at a review where the rate that it should allow has changed by more than this part.
@@ -61,9 +61,9 @@
 
     /// Returns whether all that is not in use was given back.
     pub(crate) fn left_all(&self) -> bool {
-        let teams = self.allowances.keys();
+        let teams = self.budgets.keys();
         let mut idle = teams.map(|team| self.held(team).min(self.grants.granted(team)));
-        let giving = self.allowances.values().any(|a| a.loans.is_giving());
+        let giving = self.budgets.values().any(|a| a.loans.is_giving());
         let settled = self.grants.pending().is_none() || self.failures > 0;
         settled && !giving && idle.all(|idle| idle == Tokens::ZERO)
     }
@@ -109,7 +109,7 @@
             return Vec::new();
         }
         let made = self.clock.at(now);
-        let changes = self.allowances.iter().filter_map(|(team, allowance)| {
+        let changes = self.budgets.iter().filter_map(|(team, allowance)| {
             let old = self.grants.granted(team);
             let granted = self.wanted_grant(now, team, allowance);
             // Were rests given back at each call for another team's request, the one partition would take little else.
@@ -146,15 +146,15 @@
 
     /// Returns how much of a grant others are told is spent. What an owner lends is spent by routers that write nothing
     /// themselves; where all keep, who borrows says so itself.
-    fn told_spent(&self, allowance: &Allowance) -> Tokens {
+    fn told_spent(&self, allowance: &GrantBudget) -> Tokens {
         match self.ownership.is_everyone() {
             true => allowance.spent,
-            false => allowance.gone(),
+            false => allowance.net_spent(),
         }
     }
 
     /// Returns what a grant should be.
-    fn wanted_grant(&self, now: Instant, team: &TeamId, allowance: &Allowance) -> Tokens {
+    fn wanted_grant(&self, now: Instant, team: &TeamId, allowance: &GrantBudget) -> Tokens {
         let granted = self.grants.granted(team);
         let free = self.held(team);
         if self.is_owned_elsewhere(now, team) {
@@ -175,11 +175,11 @@
             reachable: true,
         };
         match self.policy.decide(&share) {
-            Action::Draw(amount) if !allowance.is_trifle(amount) => granted + amount,
+            Action::Draw(amount) if !allowance.is_negligible(amount) => granted + amount,
             Action::Return(_) if allowance.waiting.is_empty() && self.spares_log() => {
                 granted - self.given_back(allowance, share).min(granted)
             }
-            Action::Return(amount) if !allowance.is_trifle(amount) => {
+            Action::Return(amount) if !allowance.is_negligible(amount) => {
                 granted - amount.min(free).min(granted)
             }
             Action::Draw(_) | Action::Return(_) | Action::None => granted,
@@ -188,11 +188,11 @@
 
     /// Returns all that the policy gives back, step after step, of a budget for which nobody waits here: one write for
     /// all steps that are not followed by a draw.
-    fn given_back(&self, allowance: &Allowance, mut share: Share) -> Tokens {
+    fn given_back(&self, allowance: &GrantBudget, mut share: Share) -> Tokens {
         let mut given = Tokens::ZERO;
         while let Action::Return(amount) = self.policy.decide(&share) {
             let amount = amount.min(share.free);
-            if allowance.is_trifle(amount) {
+            if allowance.is_negligible(amount) {
                 break;
             }
             let next = Share {
@@ -210,7 +210,7 @@
     }
 
     /// Returns what a router that stops holds on to, beyond what is in use.
-    fn kept_by_leaver(&self, now: Instant, allowance: &Allowance) -> Tokens {
+    fn kept_by_leaver(&self, now: Instant, allowance: &GrantBudget) -> Tokens {
         match self.stay {
             Stay::Fading => Tokens((allowance.rate(now) * FADING_COVER.as_secs_f64()) as u64),
             Stay::Staying | Stay::Leaving => Tokens::ZERO,
@@ -222,12 +222,12 @@
         &self,
         now: Instant,
         team: &TeamId,
-        allowance: &Allowance,
+        allowance: &GrantBudget,
         granted: Tokens,
     ) -> Opening {
         let drawn = granted.saturating_sub(self.grants.granted(team));
         let held = self.held(team).saturating_add(drawn);
-        let flow = allowance.flow_rate(now).min(allowance.rate(now));
+        let flow = allowance.outflow_rate(now).min(allowance.rate(now));
         decide::opening(flow, held, COVER)
     }
 
@@ -239,7 +239,7 @@
         &self,
         now: Instant,
         team: &TeamId,
-        allowance: &Allowance,
+        allowance: &GrantBudget,
         new: &SpendPace,
     ) -> bool {
         let row = self.grants.row(team);
--- a/src/router/statement.rs
+++ b/src/router/statement.rs
@@ -15,7 +15,7 @@
     /// Logs a refusal and what is known of the budget, its grounds.
     pub(crate) fn explain(&self, now: Instant, team: &TeamId, request: RequestId, why: Unfunded) {
         info!(event = "unfunded", %request, ?why, failures = self.failures);
-        let Some(allowance) = self.allowances.get(team) else {
+        let Some(allowance) = self.budgets.get(team) else {
             return;
         };
         let rest = self.remainder(now, team);
@@ -31,7 +31,7 @@
 
     /// Returns the budgets, for the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Value {
-        let allowances = self.allowances.iter().map(|(team, allowance)| {
+        let budgets = self.budgets.iter().map(|(team, allowance)| {
             json!({
                 "team": team,
                 "prepaid": allowance.prepaid,
@@ -47,7 +47,7 @@
             })
         });
         json!({
-            "teams": allowances.collect::<Vec<_>>(),
+            "teams": budgets.collect::<Vec<_>>(),
             "log_word_age_ms": self.word_age(now),
             "log_failures": self.failures,
             "pending": self.grants.pending().is_some(),
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -5,12 +5,12 @@
 
 use crate::ids::RequestId;
 use crate::ids::TeamId;
-use crate::router::allowance::Allowance;
-use crate::router::allowance::Waiter;
-use crate::router::allowance::Waiting;
 use crate::router::funds::FRESH;
 use crate::router::funds::Funds;
 use crate::router::funds::kept_open;
+use crate::router::grant_budget::GrantBudget;
+use crate::router::grant_budget::Waiter;
+use crate::router::grant_budget::Waiting;
 use crate::tokens::Tokens;
 
 /// How long a request waits for a grant: a read and a write at a log that takes a hundred milliseconds each.
@@ -36,7 +36,7 @@
 impl Funds {
     /// Has a request wait for a grant.
     pub(crate) fn wait(&mut self, team: &TeamId, waiting: Waiting) {
-        if let Some(allowance) = self.allowances.get_mut(team) {
+        if let Some(allowance) = self.budgets.get_mut(team) {
             allowance.waiting.push_back(waiting);
         }
     }
@@ -50,8 +50,8 @@
             let mut taken = Tokens::ZERO;
             let away = self.away.is_some();
             let mut given = Vec::new();
-            let allowance = &mut self.allowances[&team];
-            let Allowance {
+            let allowance = &mut self.budgets[&team];
+            let GrantBudget {
                 waiting,
                 ration,
                 loans,
@@ -78,7 +78,7 @@
             });
             given
                 .into_iter()
-                .for_each(|amount| allowance.gave(now, amount));
+                .for_each(|amount| allowance.record_given(now, amount));
         }
         funded
     }
@@ -87,7 +87,7 @@
     /// urgent ones, beyond what can be reserved now.
     pub(super) fn missing(&self, now: Instant, team: &TeamId) -> Tokens {
         let away = self.away.is_some();
-        let allowance = &self.allowances[team];
+        let allowance = &self.budgets[team];
         let waiting = allowance.waiting.iter();
         let kept = waiting.map(|one| kept_open(away, now, &allowance.ration, one.priority));
         let kept = kept.max().unwrap_or_default();
@@ -103,9 +103,9 @@
             let reach = self.reach(&team);
             let held = self.held(&team);
             let fresh = self.fresh;
-            let borrows = self.allowances[&team].loans.may_bring(now);
+            let borrows = self.budgets[&team].loans.may_bring(now);
             let away = self.failures > 0 || self.grants.end().is_none();
-            self.allowances[&team].waiting.retain(|waiting| {
+            self.budgets[&team].waiting.retain(|waiting| {
                 let asked = fresh.is_some_and(|at| at + FRESH >= waiting.since);
                 let loan = matches!(waiting.who, Waiter::Loan(..));
                 if loan && now >= waiting.since + LOAN_WAIT {
@@ -133,7 +133,7 @@
 
     /// Takes a request out of those that wait.
     pub(crate) fn forget(&mut self, team: &TeamId, request: RequestId) {
-        if let Some(allowance) = self.allowances.get_mut(team) {
+        if let Some(allowance) = self.budgets.get_mut(team) {
             let is_it = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
             allowance.waiting.retain(|waiting| !is_it(&waiting.who));
         }
@@ -141,10 +141,7 @@
 
     /// Returns the teams for whose budget requests wait.
     pub(super) fn waiting_teams(&self) -> Vec<TeamId> {
-        let waiting = self
-            .allowances
-            .iter()
-            .filter(|(_, p)| !p.waiting.is_empty());
+        let waiting = self.budgets.iter().filter(|(_, p)| !p.waiting.is_empty());
         waiting.map(|(team, _)| team.clone()).collect()
     }
 }
