--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -38,7 +38,7 @@
 use crate::router::effect::Effect;
 use crate::router::event::AdminId;
 use crate::router::event::Event;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::ledger_budget::LedgerBudget;
 use crate::router::members::Members;
 use crate::router::orders::Orders;
@@ -202,7 +202,7 @@
     pub(crate) drained: DrainedDomains,
     pub(crate) cold: ColdEndpoints,
     /// What may be spent, where budgets are kept by grants.
-    pub(crate) funds: Funds,
+    pub(crate) funds: GrantBudgets,
 }
 
 /// What part of the retries that all routers may make together they take: routers that start or end are counted late.
@@ -283,7 +283,7 @@
             table_watch: TableWatch::default(),
             drained: DrainedDomains::default(),
             cold: ColdEndpoints::default(),
-            funds: Funds::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
+            funds: GrantBudgets::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
             tuning,
             rng,
         }
--- a/src/router/funds.rs
+++ b/src/router/grant_budgets.rs
@@ -32,39 +32,39 @@
 use crate::tokens::Tokens;
 
 /// How much demand a grant covers: the longest time that all routers were seen parted from the log at once (9 s), and a
-/// second more for what is reserved and not used. See [`HELD`] for what speaks against more.
-pub(super) const COVER: Duration = Duration::from_secs(10);
+/// second more for what is reserved and not used. See [`HOLDING_RATIO`] for what speaks against more.
+pub(super) const DEMAND_COVER: Duration = Duration::from_secs(10);
 
 /// How much all routers together hold for each token undrawn: two thirds of what is left can be spent in a cut from the log.
 /// What is held is not lost where a router dies, since it opens slowly. With 1 a calm day with two cuts of eight seconds has
 /// 0.02 of its worth less, with 4 the routers that run low find less undrawn.
-const HELD: f64 = 2.0;
+const HOLDING_RATIO: f64 = 2.0;
 
 /// The same, for a deployment that leans to availability: a third more, as where budgets are kept by the ledger. It was not
 /// measured.
-const AVAILABLE_HELD: f64 = 2.7;
+const AVAILABLE_HOLDING_RATIO: f64 = 2.7;
 
 /// For how long the demand of more urgent requests is kept open in a cut. What they use opens again sooner than they come.
-const KEPT_OPEN: Duration = Duration::from_millis(500);
+const URGENT_RESERVE_TIME: Duration = Duration::from_millis(500);
 
 /// What part of a budget may lie at routers that borrowed it and count as spent, though it will come back: five seconds'
 /// leftovers of requests that use four fifths of what they reserve, of a budget for a minute or so. A caller is told that
 /// the budget is spent only where this part would not cover it either.
-const IN_TRANSIT: u64 = 50;
+const IN_TRANSIT_DIVISOR: u64 = 50;
 
 /// How old the router's word from the log may be to tell a caller that a budget is spent.
-pub(super) const FRESH: Duration = Duration::from_millis(500);
+pub(super) const MAX_STALENESS: Duration = Duration::from_millis(500);
 
 /// The first rest after a call that failed; it doubles with each further one.
-const REST: Duration = Duration::from_millis(50);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The longest rest: how late the end of an outage may be noticed. Until then no promise is written, and what has opened
 /// meanwhile is stranded if the routers die.
-const LONGEST_REST: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What came of asking for a request's budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reserve {
+pub(crate) enum Reservation {
     /// It is reserved, or needs no budget.
     Done,
     /// This router holds too little.
@@ -75,37 +75,37 @@
 
 /// What a router may spend.
 #[derive(Debug)]
-pub(crate) struct Funds {
+pub(crate) struct GrantBudgets {
     pub(super) grants: GrantState,
     pub(super) budgets: IndexMap<TeamId, GrantBudget>,
     pub(super) policy: HoldingPolicy,
     /// Whether a call is on its way.
-    busy: bool,
+    in_flight: bool,
     /// Whether the partition is known to have moved on.
     behind: bool,
     /// How many calls in a row failed.
     pub(super) failures: u32,
     /// Since when the log has not answered.
-    pub(super) away: Option<Instant>,
+    pub(super) unreachable_since: Option<Instant>,
     /// What other routers say of their budgets.
-    pub(super) others: Others,
+    pub(super) peer_budgets: Others,
     /// No call before this.
-    rest: Instant,
+    retry_at: Instant,
     /// When the grants were last known to be up to date.
-    pub(super) fresh: Option<Instant>,
+    pub(super) fresh_at: Option<Instant>,
     /// When grants were last brought to what the policy wants.
-    pub(super) reviewed: Option<Instant>,
+    pub(super) reviewed_at: Option<Instant>,
     pub(super) stay: Stay,
     pub(super) clock: FleetClock,
     /// Who keeps budgets for others.
     pub(super) ownership: Ownership,
     /// When idle budget was last given back to those that keep it.
-    pub(super) gave_back: Option<Instant>,
+    pub(super) returned_at: Option<Instant>,
     /// Teams of which too little is left here for the time that a loan takes.
-    pub(super) low: IndexSet<TeamId>,
+    pub(super) low_teams: IndexSet<TeamId>,
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Makes one that may spend nothing yet.
     pub(crate) fn new(
         now: Instant,
@@ -117,43 +117,43 @@
         Self {
             grants: GrantState::new(vm, me),
             budgets: IndexMap::new(),
-            policy: HoldingPolicy::covering(COVER, held_for(lean)),
-            busy: false,
+            policy: HoldingPolicy::covering(DEMAND_COVER, holding_ratio(lean)),
+            in_flight: false,
             behind: false,
             failures: 0,
-            away: None,
-            others: Others::default(),
-            rest: now,
-            fresh: None,
-            reviewed: None,
+            unreachable_since: None,
+            peer_budgets: Others::default(),
+            retry_at: now,
+            fresh_at: None,
+            reviewed_at: None,
             stay: Stay::Staying,
             clock: FleetClock::new(clock),
             ownership: Ownership::default(),
-            gave_back: None,
-            low: IndexSet::new(),
+            returned_at: None,
+            low_teams: IndexSet::new(),
         }
     }
 
     /// Takes over who the routers are, and with that who keeps budgets for others.
     pub(crate) fn take_routers(&mut self, me: &VmId, routers: Vec<Candidate>, peers: &[Peer]) {
         if !self.ownership.knows_routers() {
-            self.reviewed = None;
+            self.reviewed_at = None;
         }
         self.clock.expect(peers.len());
         self.ownership.take_routers(me, routers, peers);
     }
 
     /// Takes note of another router's sign of life.
-    pub(crate) fn heard(&mut self, now: Instant, beat: &Heartbeat) {
+    pub(crate) fn handle_heartbeat(&mut self, now: Instant, beat: &Heartbeat) {
         self.ownership.heard(&beat.vm);
         // What dead lifetimes left can be given back from here on.
         if self.clock.hear(now, &beat.vm, beat.clock) {
-            self.reviewed = None;
+            self.reviewed_at = None;
         }
     }
 
     /// Takes over what the teams prepaid. A budget never shrinks, and a team that is gone keeps what it used.
-    pub(crate) fn prepaid(&mut self, now: Instant, table: &RouteTable) {
+    pub(crate) fn update_prepaid(&mut self, now: Instant, table: &RouteTable) {
         for payer in table.payers() {
             let Some(prepaid) = payer.prepaid else {
                 continue;
@@ -166,13 +166,13 @@
             if prepaid > budget.prepaid {
                 info!(event = "prepaid", team = %payer.team, %prepaid);
                 budget.prepaid = prepaid;
-                self.reviewed = None;
+                self.reviewed_at = None;
             }
         }
     }
 
     /// Returns whether the grants were ever read.
-    pub(crate) fn known(&self) -> bool {
+    pub(crate) fn is_loaded(&self) -> bool {
         self.grants.end().is_some()
     }
 
@@ -183,26 +183,26 @@
         team: &TeamId,
         priority: u8,
         amount: Tokens,
-    ) -> Reserve {
-        let available = self.open_to(now, team, priority);
-        let rest = self.remainder(now, team);
+    ) -> Reservation {
+        let available = self.available_to(now, team, priority);
+        let remainder = self.remainder(now, team);
         let Some(budget) = self.budgets.get_mut(team) else {
-            return Reserve::Done;
+            return Reservation::Done;
         };
         if amount == Tokens::ZERO {
-            return Reserve::Done;
+            return Reservation::Done;
         }
         budget.record_demand(now, priority, amount);
-        if !budget.ration.pays(now, &rest, priority, amount) {
-            return Reserve::Kept;
+        if !budget.ration.pays(now, &remainder, priority, amount) {
+            return Reservation::Kept;
         }
         if available < amount {
-            return Reserve::Short;
+            return Reservation::Short;
         }
         budget.reserved += amount;
         budget.record_given(now, amount);
         self.note_low(now, team, available - amount);
-        Reserve::Done
+        Reservation::Done
     }
 
     /// Ends a reservation with what was used of it.
@@ -216,8 +216,8 @@
     }
 
     /// Takes in what happened at the log.
-    pub(crate) fn took(&mut self, now: Instant, event: GrantEvent) {
-        self.busy = false;
+    pub(crate) fn handle_event(&mut self, now: Instant, event: GrantEvent) {
+        self.in_flight = false;
         match event {
             GrantEvent::Read { rows, end } => {
                 for (offset, key, row) in rows {
@@ -225,49 +225,55 @@
                 }
                 self.grants.advance(end);
                 self.behind = false;
-                self.answered(now);
+                self.record_answer(now);
             }
             GrantEvent::Gone => {
                 self.behind = true;
-                self.gone();
+                self.reread_all();
             }
             GrantEvent::Landed(at) => {
                 let records = self.grants.confirm(at);
-                self.note_grants(&records);
-                self.answered(now);
+                self.log_grants(&records);
+                self.record_answer(now);
             }
             GrantEvent::Moved => {
                 self.behind = true;
-                self.reached();
+                self.clear_failures();
             }
             GrantEvent::Refused(at) => {
                 self.grants.reject(at);
-                self.failed(now);
+                self.record_failure(now);
             }
             GrantEvent::Lost(at) => {
                 self.grants.mark_uncertain(at);
-                self.failed(now);
+                self.record_failure(now);
             }
-            GrantEvent::Unread => self.failed(now),
+            GrantEvent::Unread => self.record_failure(now),
         }
     }
 
     /// Returns whether there is anything to ask the log or other routers for.
     pub(crate) fn is_due(&self, now: Instant) -> bool {
-        let waits = self.budgets.values().any(|a| !a.waiting.is_empty());
+        let waits = self
+            .budgets
+            .values()
+            .any(|budget| !budget.waiting.is_empty());
         let reviews = self.is_review_due(now);
-        let leaves = self.stay == Stay::Leaving;
-        let unsettled = self.behind || leaves || self.grants.pending().is_some() || !self.known();
-        waits || !self.low.is_empty() || !self.busy && now >= self.rest && (reviews || unsettled)
+        let leaving = self.stay == Stay::Leaving;
+        let unsettled =
+            self.behind || leaving || self.grants.pending().is_some() || !self.is_loaded();
+        waits
+            || !self.low_teams.is_empty()
+            || !self.in_flight && now >= self.retry_at && (reviews || unsettled)
     }
 
     /// Returns the next call to the log, if one is due.
     pub(crate) fn step(&mut self, now: Instant) -> Option<Effect> {
-        if self.busy || now < self.rest {
+        if self.in_flight || now < self.retry_at {
             return None;
         }
         let effect = self.next_call(now)?;
-        self.busy = true;
+        self.in_flight = true;
         Some(effect)
     }
 
@@ -282,20 +288,20 @@
             return Some(Effect::ProposeGrants(pending.clone()));
         }
         // What is given up to a log that does not answer could not be handed over.
-        let leaves = self.stay == Stay::Leaving;
-        if leaves && self.failures > 0 {
+        let leaving = self.stay == Stay::Leaving;
+        if leaving && self.failures > 0 {
             return None;
         }
         // Whether the log answers is found out before anything is given up to it.
-        let stale = self.fresh.is_none_or(|at| now >= at + FRESH);
-        if leaves && stale {
+        let stale = self.fresh_at.is_none_or(|at| now >= at + MAX_STALENESS);
+        if leaving && stale {
             return Some(Effect::ReadGrants(Some(end)));
         }
         let waiting = self.waiting_teams();
         let waiting = waiting
             .iter()
             .any(|team| !self.is_owned_elsewhere(now, team));
-        let due = self.is_review_due(now) || leaves;
+        let due = self.is_review_due(now) || leaving;
         if !waiting && !due {
             return None;
         }
@@ -303,11 +309,15 @@
         // Only a review puts the next one off. Put off by each call for a request that waits, none would come while one team's
         // callers wait, and the other teams' promises would grow old.
         if due {
-            self.reviewed = Some(now);
+            self.reviewed_at = Some(now);
         }
         let start = self.clock.start(now);
         let budgets = &self.budgets;
-        let prepaid = |team: &TeamId| budgets.get(team).map_or(Tokens::ZERO, |p| p.prepaid);
+        let prepaid = |team: &TeamId| {
+            budgets
+                .get(team)
+                .map_or(Tokens::ZERO, |budget| budget.prepaid)
+        };
         if let Some(proposal) = self.grants.propose(changes, &start, prepaid) {
             return Some(Effect::ProposeGrants(proposal));
         }
@@ -316,25 +326,25 @@
     }
 
     /// Reads all anew: the log let go of records that were not read.
-    fn gone(&mut self) {
+    fn reread_all(&mut self) {
         warn!(event = "grants-gone");
         self.grants.restart();
     }
 
     /// Logs the grants that stand from now on: who reads the logs sees from them where a budget lies, and which part of a dead
     /// lifetime's grant stays lost: what was in use, what could be used at once, and what opened for the time that passed.
-    fn note_grants(&self, records: &[(GrantKey, GrantRow)]) {
+    fn log_grants(&self, records: &[(GrantKey, GrantRow)]) {
         for (key, row) in records {
             match self.grants.is_own(key) {
-                true => self.note_granted(&key.team, row),
-                false => note_given_back(key, row),
+                true => self.log_granted(&key.team, row),
+                false => log_given_back(key, row),
             }
         }
     }
 
-    fn note_granted(&self, team: &TeamId, row: &GrantRow) {
-        let promised = row.pace.map(|pace| (pace.used, pace.room, pace.rate));
-        let (used, room, rate) = promised.unwrap_or_default();
+    fn log_granted(&self, team: &TeamId, row: &GrantRow) {
+        let pace = row.pace.map(|pace| (pace.used, pace.room, pace.rate));
+        let (used, room, rate) = pace.unwrap_or_default();
         let moved = self.budgets.get(team).map(|budget| {
             let loans = &budget.loans;
             (budget.reserved, loans.lent(), loans.borrowed())
@@ -346,31 +356,31 @@
         );
     }
 
-    fn answered(&mut self, now: Instant) {
+    fn record_answer(&mut self, now: Instant) {
         if self.failures > 0 {
             info!(event = "grants-reachable", failures = self.failures);
         }
-        self.reached();
-        self.fresh = Some(now);
+        self.clear_failures();
+        self.fresh_at = Some(now);
     }
 
     /// Notes that the store answered another call, so that the log is worth asking at once.
     pub(crate) fn store_answered(&mut self, now: Instant) {
-        self.rest = self.rest.min(now);
+        self.retry_at = self.retry_at.min(now);
     }
 
-    fn reached(&mut self) {
+    fn clear_failures(&mut self) {
         self.failures = 0;
-        self.away = None;
+        self.unreachable_since = None;
     }
 
-    fn failed(&mut self, now: Instant) {
+    fn record_failure(&mut self, now: Instant) {
         if self.failures == 0 {
             warn!(event = "grants-unreachable");
         }
-        self.away.get_or_insert(now);
-        let rest = REST.saturating_mul(1 << self.failures.min(8));
-        self.rest = now + rest.min(LONGEST_REST);
+        self.unreachable_since.get_or_insert(now);
+        let delay = FIRST_RETRY_DELAY.saturating_mul(1 << self.failures.min(8));
+        self.retry_at = now + delay.min(MAX_RETRY_DELAY);
         self.failures += 1;
     }
 
@@ -380,12 +390,12 @@
     }
 
     /// Returns what a request of a priority can reserve now.
-    pub(super) fn open_to(&self, now: Instant, team: &TeamId, priority: u8) -> Tokens {
-        let away = self.away.is_some();
+    pub(super) fn available_to(&self, now: Instant, team: &TeamId, priority: u8) -> Tokens {
+        let away = self.unreachable_since.is_some();
         let budget = self.budgets.get(team);
-        let kept = budget.map(|a| kept_open(away, now, &a.ration, priority));
+        let reserve = budget.map(|budget| urgent_reserve(away, now, &budget.ration, priority));
         self.available(now, team)
-            .saturating_sub(kept.unwrap_or_default())
+            .saturating_sub(reserve.unwrap_or_default())
     }
 
     /// Returns what is held and not in use, though it may not all be used at once.
@@ -400,20 +410,23 @@
     }
 
     /// Returns the most that this router could reserve if it drew all that is undrawn.
-    pub(super) fn reach(&self, team: &TeamId) -> Tokens {
-        let prepaid = self.budgets.get(team).map_or(Tokens::ZERO, |p| p.prepaid);
+    pub(super) fn max_reservable(&self, team: &TeamId) -> Tokens {
+        let prepaid = self
+            .budgets
+            .get(team)
+            .map_or(Tokens::ZERO, |budget| budget.prepaid);
         self.held(team)
             .saturating_add(self.grants.undrawn(team, prepaid))
     }
 
     /// Returns the most that can be left of a team's budget, by all that is known to be used.
-    pub(super) fn left(&self, team: &TeamId) -> Tokens {
+    pub(super) fn max_left(&self, team: &TeamId) -> Tokens {
         self.budgets.get(team).map_or(Tokens::ZERO, |budget| {
             let here = budget.spent.saturating_add(budget.reserved);
             let used = here.saturating_add(self.grants.spent_by_others(team));
             let in_transit = match self.ownership.is_everyone() {
                 true => Tokens::ZERO,
-                false => Tokens(budget.prepaid.0 / IN_TRANSIT),
+                false => Tokens(budget.prepaid.0 / IN_TRANSIT_DIVISOR),
             };
             budget
                 .prepaid
@@ -424,23 +437,23 @@
     }
 }
 
-fn note_given_back(key: &GrantKey, row: &GrantRow) {
+fn log_given_back(key: &GrantKey, row: &GrantRow) {
     let GrantKey { vm, router, team } = key;
     info!(event = "given-back", %team, of = %vm, %router, left = %row.granted);
 }
 
 /// Returns what more urgent requests than those of a priority find open. In touch with the log more is opened by the next
 /// promise; in a cut it opens slowly, and the less urgent would use up each bit of it.
-pub(super) fn kept_open(away: bool, now: Instant, ration: &Ration, priority: u8) -> Tokens {
+pub(super) fn urgent_reserve(away: bool, now: Instant, ration: &Ration, priority: u8) -> Tokens {
     match away {
-        true => Tokens((ration.urgent(now, priority) * KEPT_OPEN.as_secs_f64()) as u64),
+        true => Tokens((ration.urgent(now, priority) * URGENT_RESERVE_TIME.as_secs_f64()) as u64),
         false => Tokens::ZERO,
     }
 }
 
-fn held_for(lean: Lean) -> f64 {
+fn holding_ratio(lean: Lean) -> f64 {
     match lean {
-        Lean::Strict => HELD,
-        Lean::Available => AVAILABLE_HELD,
+        Lean::Strict => HOLDING_RATIO,
+        Lean::Available => AVAILABLE_HOLDING_RATIO,
     }
 }
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -20,9 +20,9 @@
 use crate::router::event::Gift;
 use crate::router::event::GrantEvent;
 use crate::router::event::LoanAsk;
-use crate::router::funds::Reserve;
 use crate::router::grant_budget::Waiter;
 use crate::router::grant_budget::Waiting;
+use crate::router::grant_budgets::Reservation;
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
@@ -56,7 +56,7 @@
         );
         self.table_watch.took(table.version);
         self.effects.push(Effect::OfferTable(table.clone()));
-        self.funds.prepaid(now, &table);
+        self.funds.update_prepaid(now, &table);
         self.table = Some(table);
         self.rebuild_pools(now);
         self.open_with_grants();
@@ -64,14 +64,14 @@
 
     /// Takes in what happened at the log that keeps grants.
     pub(crate) fn grants(&mut self, now: Instant, event: GrantEvent) {
-        self.funds.took(now, event);
+        self.funds.handle_event(now, event);
         self.open_with_grants();
     }
 
     /// Begins to serve once the configuration, the endpoints and the grants are known.
     pub(crate) fn open_with_grants(&mut self) {
         let ready = self.table.is_some()
-            && self.funds.known()
+            && self.funds.is_loaded()
             && !self.members.roster.list().vms.is_empty();
         if self.phase == Phase::CatchingUp && ready {
             self.phase = Phase::Serving;
@@ -86,11 +86,11 @@
         let amount = request.reserve;
         let priority = request.relay.as_ref().map_or(0, |terms| terms.priority);
         match self.funds.reserve(now, &team, priority, amount) {
-            Reserve::Done => {
+            Reservation::Done => {
                 request.stake = Stake::Funded;
                 self.enqueue(now, id);
             }
-            Reserve::Short => {
+            Reservation::Short => {
                 let waiting = Waiting {
                     who: Waiter::Request(id),
                     amount,
@@ -99,7 +99,7 @@
                 };
                 self.funds.wait(&team, waiting);
             }
-            Reserve::Kept => self.refuse_unfunded(now, id, Unfunded::Kept),
+            Reservation::Kept => self.refuse_unfunded(now, id, Unfunded::Kept),
         }
     }
 
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -12,7 +12,7 @@
 use crate::router::event::Gift;
 use crate::router::event::LoanAsk;
 use crate::router::event::PurseWord;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::loans::Wanted;
 use crate::router::review::Stay;
 use crate::tokens::Tokens;
@@ -27,17 +27,18 @@
 /// How much of its own demand a lender keeps.
 pub(super) const KEPT: Duration = Duration::from_secs(1);
 
-impl Funds {
+impl GrantBudgets {
     /// Asks other routers for what can't be had from the log now.
     pub(crate) fn borrow(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         let mut effects = self.borrow_ahead(now, me);
         for team in self.waiting_teams() {
-            let hopeful = self.failures == 0 && self.reach(&team) > self.available(now, &team);
+            let hopeful =
+                self.failures == 0 && self.max_reservable(&team) > self.available(now, &team);
             if self.is_owned_elsewhere(now, &team) {
                 effects.extend(self.borrow_owned(now, me, &team));
                 continue;
             }
-            let left = self.left(&team);
+            let left = self.max_left(&team);
             let allowance = &mut self.budgets[&team];
             let needed = allowance.own_wanted();
             if needed == Tokens::ZERO {
@@ -57,7 +58,7 @@
                 asked: allowance.asked,
                 priority: allowance.most_urgent(),
             };
-            let lenders = self.others.lenders(&team);
+            let lenders = self.peer_budgets.lenders(&team);
             effects.extend(allowance.loans.ask(now, me, &team, wanted, lenders));
         }
         effects
@@ -90,7 +91,7 @@
             let idle = self.available(now, &team);
             if idle > Tokens::ZERO {
                 let loans = &mut self.budgets[&team].loans;
-                let heirs = self.others.heirs(&team);
+                let heirs = self.peer_budgets.heirs(&team);
                 effects.extend(loans.give(me, &team, idle, &heirs));
             }
         }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -280,7 +280,7 @@
     pub(crate) fn heard(&mut self, now: Instant, beat: Heartbeat) {
         self.members.signs.insert(beat.router, now);
         self.members.unheard.swap_remove(&beat.vm);
-        self.funds.heard(now, &beat);
+        self.funds.handle_heartbeat(now, &beat);
         self.relay_config(now, &beat);
         self.hear_table(now, &beat);
         self.take_drained(now, &beat.drained);
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -9,10 +9,10 @@
 use crate::router::effect::Effect;
 use crate::router::event::AdminId;
 use crate::router::event::LoanAsk;
-use crate::router::funds::Funds;
 use crate::router::grant_budget::GrantBudget;
 use crate::router::grant_budget::Waiter;
 use crate::router::grant_budget::Waiting;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::lending::KEPT;
 use crate::router::loans::Wanted;
 use crate::tokens::Tokens;
@@ -39,7 +39,7 @@
     }
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Asks those that keep a team's budget for what its requests need.
     pub(super) fn borrow_owned(
         &mut self,
@@ -51,7 +51,7 @@
         if missing == Tokens::ZERO {
             return None;
         }
-        let left = self.left(team);
+        let left = self.max_left(team);
         let allowance = &mut self.budgets[team];
         // Where answers take long, each further request would wait as long for the next one.
         let ahead = (allowance.loans.took() * AHEAD).min(KEPT);
@@ -70,15 +70,15 @@
         let borrows = !self.ownership.owners(team).is_empty();
         let allowance = &self.budgets[team];
         if borrows && rest < allowance.loan_demand(now) && allowance.waiting.is_empty() {
-            self.low.insert(team.clone());
+            self.low_teams.insert(team.clone());
         }
     }
 
     /// Asks those that keep budgets for what runs low here, before a request has to wait for it.
     pub(super) fn borrow_ahead(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for team in std::mem::take(&mut self.low) {
-            let left = self.left(&team);
+        for team in std::mem::take(&mut self.low_teams) {
+            let left = self.max_left(&team);
             let rest = self.available(now, &team);
             let owners = self.ownership.answering(now, &team);
             let allowance = &mut self.budgets[&team];
@@ -102,10 +102,10 @@
     ///
     /// Two hundred routers that each held on to the rest of one request would hold seconds of a team's demand.
     pub(crate) fn give_back(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
-        if self.gave_back.is_some_and(|at| now < at + GIVE_BACK) {
+        if self.returned_at.is_some_and(|at| now < at + GIVE_BACK) {
             return Vec::new();
         }
-        self.gave_back = Some(now);
+        self.returned_at = Some(now);
         let teams: Vec<_> = self.budgets.keys().cloned().collect();
         let mut effects = Vec::new();
         for team in teams {
@@ -139,7 +139,7 @@
         id: AdminId,
         ask: &LoanAsk,
     ) -> Option<Tokens> {
-        let open = self.open_to(now, &ask.team, ask.priority);
+        let open = self.available_to(now, &ask.team, ask.priority);
         let rest = self.remainder(now, &ask.team);
         let away = self.failures > 0;
         let Some(allowance) = self.budgets.get_mut(&ask.team) else {
@@ -170,7 +170,7 @@
 
     /// Lends as much of what is asked for as is open now; the rest may lie at another owner.
     pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
-        let open = self.open_to(now, &ask.team, ask.priority);
+        let open = self.available_to(now, &ask.team, ask.priority);
         let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
--- a/src/router/rationing.rs
+++ b/src/router/rationing.rs
@@ -11,8 +11,8 @@
 use crate::ids::TeamId;
 use crate::router::effect::Peer;
 use crate::router::event::PurseWord;
-use crate::router::funds::COVER;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::DEMAND_COVER;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::loans::Lender;
 use crate::tokens::Tokens;
 
@@ -139,29 +139,29 @@
     }
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Returns whether it is time to gather what other routers say of their budgets.
     pub(crate) fn listens(&self, now: Instant) -> bool {
-        self.others.is_due(now)
+        self.peer_budgets.is_due(now)
     }
 
     /// Has what other routers say be gathered at once: one of them is new, and may be the only one to borrow from.
     pub(crate) fn listen(&mut self) {
-        self.others.heard = None;
+        self.peer_budgets.heard = None;
     }
 
     /// Takes in what other routers say of their budgets.
     pub(crate) fn hear(&mut self, now: Instant, routers: &[BudgetWords]) {
-        self.others.hear(now, routers);
+        self.peer_budgets.hear(now, routers);
     }
 
     /// Returns what is left of a team's budget in this router's reach, and for how long it must last.
     pub(super) fn remainder(&self, now: Instant, team: &TeamId) -> Remainder {
-        let here = match self.away {
+        let here = match self.unreachable_since {
             Some(_) => self.held(team),
-            None => self.reach(team),
+            None => self.max_reservable(team),
         };
-        let left = here.saturating_add(self.others.free(team));
+        let left = here.saturating_add(self.peer_budgets.free(team));
         Remainder {
             left,
             demand: self.team_demand(now, team),
@@ -175,7 +175,9 @@
 
     /// Returns whether routers in reach have an amount of a team's budget, or the log has it.
     pub(crate) fn is_in_reach(&self, team: &TeamId, amount: Tokens) -> bool {
-        let reach = self.reach(team).saturating_add(self.others.free(team));
+        let reach = self
+            .max_reservable(team)
+            .saturating_add(self.peer_budgets.free(team));
         reach >= amount
     }
 
@@ -183,7 +185,7 @@
     /// callers ask for.
     fn team_demand(&self, now: Instant, team: &TeamId) -> f64 {
         let here = self.budgets.get(team).map_or(0.0, |a| a.rate(now));
-        let others = self.others.demand(team);
+        let others = self.peer_budgets.demand(team);
         match self.ownership.owners(team).is_empty() {
             true => here + others,
             false => here.max(others),
@@ -192,8 +194,8 @@
 
     /// Returns how much longer the log may be out of reach, if it is.
     pub(super) fn cut_left(&self, now: Instant) -> Option<Duration> {
-        let passed = now.saturating_duration_since(self.away?);
-        Some(COVER.saturating_sub(passed).max(LEAST))
+        let passed = now.saturating_duration_since(self.unreachable_since?);
+        Some(DEMAND_COVER.saturating_sub(passed).max(LEAST))
     }
 
     /// Returns whether more of a team's budget is out of reach than in it: dead routers may have spent it, and nobody can tell.
@@ -201,7 +203,7 @@
     /// A budget that is simply used up is used to its end, by whoever asks: kept back, its last part would serve nobody.
     fn is_mostly_lost(&self, team: &TeamId, reach: Tokens) -> bool {
         let prepaid = self.budgets.get(team).map_or(Tokens::ZERO, |a| a.prepaid);
-        let lost = self.left(team).saturating_sub(reach);
+        let lost = self.max_left(team).saturating_sub(reach);
         lost > reach && lost.0 > prepaid.0 / LOST
     }
 }
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -13,9 +13,9 @@
 use crate::escrow::GrantRow;
 use crate::escrow::SpendPace;
 use crate::ids::TeamId;
-use crate::router::funds::COVER;
-use crate::router::funds::Funds;
 use crate::router::grant_budget::GrantBudget;
+use crate::router::grant_budgets::DEMAND_COVER;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::tokens::Tokens;
 
 /// A promise is written anew at a review where the rate that it should allow has changed by more than this part.
@@ -46,17 +46,17 @@
     Leaving,
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Begins to give back what callers that still come won't need.
     pub(crate) fn fade(&mut self) {
         self.stay = Stay::Fading;
-        self.reviewed = None;
+        self.reviewed_at = None;
     }
 
     /// Begins to give back what no request in progress needs.
     pub(crate) fn leave(&mut self) {
         self.stay = Stay::Leaving;
-        self.reviewed = None;
+        self.reviewed_at = None;
     }
 
     /// Returns whether all that is not in use was given back.
@@ -72,7 +72,7 @@
     pub(super) fn is_review_due(&self, now: Instant) -> bool {
         let writers = u32::try_from(self.writers()).unwrap_or(u32::MAX);
         let interval = FLEET_REVIEW.saturating_mul(writers).max(REVIEW);
-        self.reviewed.is_none_or(|at| now >= at + interval)
+        self.reviewed_at.is_none_or(|at| now >= at + interval)
     }
 
     /// Returns whether the log has no writes to spare for rests. Where few routers write it has, and who waits elsewhere has
@@ -83,13 +83,13 @@
 
     /// Returns whether others may wait for what lies idle here of a team's budget.
     fn is_missed_elsewhere(&self, team: &TeamId) -> bool {
-        !self.spares_log() && self.others.demand(team) > 0.0
+        !self.spares_log() && self.peer_budgets.demand(team) > 0.0
     }
 
     /// Returns how many routers write grants.
     fn writers(&self) -> usize {
         match self.ownership.is_everyone() {
-            true => self.others.routers() + 1,
+            true => self.peer_budgets.routers() + 1,
             false => OWNERS,
         }
     }
@@ -98,7 +98,7 @@
     fn sharers(&self, team: &TeamId) -> usize {
         match self.ownership.owns_for_all(team) {
             true => TEAM_OWNERS,
-            false => self.others.routers() + 1,
+            false => self.peer_budgets.routers() + 1,
         }
     }
 
@@ -170,7 +170,7 @@
             undrawn: self.grants.undrawn(team, allowance.prepaid),
             routers: self.sharers(team),
             demand: allowance.rate(now),
-            team: allowance.rate(now) + self.others.demand(team),
+            team: allowance.rate(now) + self.peer_budgets.demand(team),
             wanted: allowance.wanted(),
             reachable: true,
         };
@@ -228,7 +228,7 @@
         let drawn = granted.saturating_sub(self.grants.granted(team));
         let held = self.held(team).saturating_add(drawn);
         let flow = allowance.outflow_rate(now).min(allowance.rate(now));
-        decide::opening(flow, held, COVER)
+        decide::opening(flow, held, DEMAND_COVER)
     }
 
     /// Returns whether the promise that stands is no longer what it should be.
--- a/src/router/statement.rs
+++ b/src/router/statement.rs
@@ -8,10 +8,10 @@
 
 use crate::ids::RequestId;
 use crate::ids::TeamId;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::waiting::Unfunded;
 
-impl Funds {
+impl GrantBudgets {
     /// Logs a refusal and what is known of the budget, its grounds.
     pub(crate) fn explain(&self, now: Instant, team: &TeamId, request: RequestId, why: Unfunded) {
         info!(event = "unfunded", %request, ?why, failures = self.failures);
@@ -56,7 +56,7 @@
 
     /// Returns how old the log's last word is, in milliseconds.
     fn word_age(&self, now: Instant) -> Option<u64> {
-        let age = now.saturating_duration_since(self.fresh?);
+        let age = now.saturating_duration_since(self.fresh_at?);
         Some(u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
     }
 }
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -5,12 +5,12 @@
 
 use crate::ids::RequestId;
 use crate::ids::TeamId;
-use crate::router::funds::FRESH;
-use crate::router::funds::Funds;
-use crate::router::funds::kept_open;
 use crate::router::grant_budget::GrantBudget;
 use crate::router::grant_budget::Waiter;
 use crate::router::grant_budget::Waiting;
+use crate::router::grant_budgets::GrantBudgets;
+use crate::router::grant_budgets::MAX_STALENESS;
+use crate::router::grant_budgets::urgent_reserve;
 use crate::tokens::Tokens;
 
 /// How long a request waits for a grant: a read and a write at a log that takes a hundred milliseconds each.
@@ -33,7 +33,7 @@
     Away,
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Has a request wait for a grant.
     pub(crate) fn wait(&mut self, team: &TeamId, waiting: Waiting) {
         if let Some(allowance) = self.budgets.get_mut(team) {
@@ -48,7 +48,7 @@
         for team in self.waiting_teams() {
             let available = self.available(now, &team);
             let mut taken = Tokens::ZERO;
-            let away = self.away.is_some();
+            let away = self.unreachable_since.is_some();
             let mut given = Vec::new();
             let allowance = &mut self.budgets[&team];
             let GrantBudget {
@@ -59,7 +59,7 @@
                 ..
             } = allowance;
             waiting.retain(|waiting| {
-                let kept = kept_open(away, now, ration, waiting.priority);
+                let kept = urgent_reserve(away, now, ration, waiting.priority);
                 let needed = taken.saturating_add(waiting.amount).saturating_add(kept);
                 if needed > available {
                     return true;
@@ -86,10 +86,10 @@
     /// Returns what those that wait for a team's budget lack: what they may cost together, and what must stay open for more
     /// urgent ones, beyond what can be reserved now.
     pub(super) fn missing(&self, now: Instant, team: &TeamId) -> Tokens {
-        let away = self.away.is_some();
+        let away = self.unreachable_since.is_some();
         let allowance = &self.budgets[team];
         let waiting = allowance.waiting.iter();
-        let kept = waiting.map(|one| kept_open(away, now, &allowance.ration, one.priority));
+        let kept = waiting.map(|one| urgent_reserve(away, now, &allowance.ration, one.priority));
         let kept = kept.max().unwrap_or_default();
         let wanted = allowance.own_wanted().saturating_add(kept);
         wanted.saturating_sub(self.available(now, team))
@@ -99,14 +99,14 @@
     pub(crate) fn unfunded(&mut self, now: Instant) -> Vec<(Waiter, Unfunded)> {
         let mut unfunded = Vec::new();
         for team in self.waiting_teams() {
-            let left = self.left(&team);
-            let reach = self.reach(&team);
+            let left = self.max_left(&team);
+            let reach = self.max_reservable(&team);
             let held = self.held(&team);
-            let fresh = self.fresh;
+            let fresh = self.fresh_at;
             let borrows = self.budgets[&team].loans.may_bring(now);
             let away = self.failures > 0 || self.grants.end().is_none();
             self.budgets[&team].waiting.retain(|waiting| {
-                let asked = fresh.is_some_and(|at| at + FRESH >= waiting.since);
+                let asked = fresh.is_some_and(|at| at + MAX_STALENESS >= waiting.since);
                 let loan = matches!(waiting.who, Waiter::Loan(..));
                 if loan && now >= waiting.since + LOAN_WAIT {
                     unfunded.push((waiting.who.clone(), Unfunded::Held));
