--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -442,7 +442,7 @@
         self.catch_up(now);
         self.expire_requests(now);
         self.recheck_contended(now);
-        self.keep_house(now);
+        self.rebalance_holdings(now);
         self.beat(now);
         self.close_dead(now);
         self.replicate(now);
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -25,7 +25,7 @@
 
 /// How long a request waits for other routers to give back what they hold idle, once nothing is left to draw: three
 /// commits (the draw that came back short, their returns, the next draw) of 25 ms and the log's own time, doubled.
-const SHORT_WAIT: Duration = Duration::from_millis(400);
+const SHORTAGE_WAIT: Duration = Duration::from_millis(400);
 
 /// When a caller whose team's budget is spent may come back: top-ups are made by people.
 const SPENT_RETRY: Duration = Duration::from_secs(30);
@@ -34,7 +34,7 @@
 const HELD_RETRY: Duration = Duration::from_secs(2);
 
 /// How often holdings are brought to what the policy wants: demand is averaged over half a minute.
-const KEEP_HOUSE: Duration = Duration::from_secs(1);
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The time over which a team's demand at one router is averaged.
 const OWN_WINDOW: Duration = Duration::from_secs(30);
@@ -43,7 +43,7 @@
 const FLEET_WINDOW: Duration = Duration::from_secs(300);
 
 /// A rate, in tokens a second, that is as good as none: one request an hour.
-const FORGOTTEN: f64 = 0.01;
+const MIN_DEMAND_RATE: f64 = 0.01;
 
 impl Core {
     /// Reserves what a request can cost, or has it wait for budget.
@@ -57,7 +57,7 @@
         }
         let team = request.team.clone();
         let reserve = request.reserve;
-        self.note_demand(now, &team, reserve);
+        self.record_demand(now, &team, reserve);
         let budget = self.purses.entry(team.clone()).or_default();
         budget.waiting.push_back(id);
         self.fund_team(now, &team);
@@ -133,29 +133,29 @@
         }
         let idle = budget.available(free);
         if wanted > Tokens::ZERO {
-            self.adjust(now, team, wanted);
+            self.adjust_holding(now, team, wanted);
         } else if undrawn > Tokens::ZERO {
             // What can't be made up here is given back, so that another router can make it up.
-            self.adjust(now, team, missing);
+            self.adjust_holding(now, team, missing);
         }
         if short.is_empty() {
             return;
         }
         if undrawn == Tokens::ZERO || idle == Tokens::ZERO {
-            self.ask_others(team, wanted.saturating_add(missing));
+            self.signal_shortage(team, wanted.saturating_add(missing));
         }
-        self.note_short(now, team, &short);
+        self.handle_short(now, team, &short);
     }
 
     /// Draws though nothing is left: the others see the draw come back short, and give back what lies idle there.
-    fn ask_others(&mut self, team: &TeamId, wanted: Tokens) {
+    fn signal_shortage(&mut self, team: &TeamId, wanted: Tokens) {
         let holding = self.ledger.holding(self.me, team);
-        let mine = holding.free + holding.claimed;
+        let own = holding.free + holding.claimed;
         let held = self.ledger.team(team).map_or(Tokens::ZERO, |t| t.held());
         let Some(budget) = self.purses.get_mut(team) else {
             return;
         };
-        if budget.drawing || held <= mine {
+        if budget.drawing || held <= own {
             return;
         }
         budget.drawing = true;
@@ -167,43 +167,47 @@
     }
 
     /// Marks since when requests have nothing left to draw, and refuses those that no one can serve.
-    fn note_short(&mut self, now: Instant, team: &TeamId, short: &[RequestId]) {
+    fn handle_short(&mut self, now: Instant, team: &TeamId, short: &[RequestId]) {
         let unspent = self.ledger.team(team).map_or(Tokens::ZERO, |t| t.unspent());
         for id in short.iter().copied() {
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
-            let hopeless = request.reserve > unspent;
+            let unaffordable = request.reserve > unspent;
             let State::Funding { short } = &mut request.state else {
                 continue;
             };
             let since = *short.get_or_insert(now);
-            if hopeless || now >= since + SHORT_WAIT {
-                self.refuse_spent(now, id, hopeless);
+            if unaffordable || now >= since + SHORTAGE_WAIT {
+                self.refuse_spent(now, id, unaffordable);
             }
         }
     }
 
-    fn refuse_spent(&mut self, now: Instant, id: RequestId, hopeless: bool) {
+    fn refuse_spent(&mut self, now: Instant, id: RequestId, unaffordable: bool) {
         let request = &self.requests[&id];
         let detail = format!(
             "the team {} has not {} tokens left for it",
             request.team, request.reserve
         );
-        let retry = if hopeless { SPENT_RETRY } else { HELD_RETRY };
+        let retry = if unaffordable {
+            SPENT_RETRY
+        } else {
+            HELD_RETRY
+        };
         let problem = Problem::new(ProblemKind::BudgetSpent, Ran::Unknown, &detail);
         self.refuse_with(now, id, problem.retry_in(retry));
     }
 
     /// Draws or returns what the policy says.
-    pub(crate) fn adjust(&mut self, now: Instant, team: &TeamId, wanted: Tokens) {
+    pub(crate) fn adjust_holding(&mut self, now: Instant, team: &TeamId, wanted: Tokens) {
         let holding = self.ledger.holding(self.me, team);
         let Some(state) = self.ledger.team(team) else {
             return;
         };
         let undrawn = state.undrawn();
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
-        let demand = self.demand_of(now, team);
+        let demand = self.demand_rate(now, team);
         let reachable = !self.in_outage(now);
         let budget = self.purses.entry(team.clone()).or_default();
         if budget.drawing {
@@ -229,11 +233,11 @@
                 };
                 self.appender.push(record, Ticket::Draw(team.clone()));
             }
-            Action::Return(amount) => self.give_back(team, amount),
+            Action::Return(amount) => self.return_budget(team, amount),
         }
     }
 
-    fn give_back(&mut self, team: &TeamId, amount: Tokens) {
+    fn return_budget(&mut self, team: &TeamId, amount: Tokens) {
         if amount == Tokens::ZERO {
             return;
         }
@@ -246,7 +250,7 @@
             .push(record, Ticket::Return(team.clone(), amount));
     }
 
-    pub(crate) fn draw_verdict(&mut self, now: Instant, team: &TeamId, verdict: &Verdict) {
+    pub(crate) fn handle_draw_verdict(&mut self, now: Instant, team: &TeamId, verdict: &Verdict) {
         let budget = self.purses.entry(team.clone()).or_default();
         budget.drawing = false;
         if let Verdict::Granted(amount) = verdict {
@@ -274,10 +278,10 @@
 
     fn release_idle(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
-        let demand = self.demand_of(now, team);
+        let demand = self.demand_rate(now, team);
         let Some(budget) = self.purses.get(team) else {
             if free > Tokens::ZERO {
-                self.give_back(team, free);
+                self.return_budget(team, free);
             }
             return;
         };
@@ -289,10 +293,10 @@
             true => Tokens(demand as u64).min(Tokens(idle.0 / 2)),
             false => Tokens::ZERO,
         };
-        self.give_back(team, idle - keep);
+        self.return_budget(team, idle - keep);
     }
 
-    fn note_demand(&mut self, now: Instant, team: &TeamId, amount: Tokens) {
+    fn record_demand(&mut self, now: Instant, team: &TeamId, amount: Tokens) {
         self.demand
             .entry(team.clone())
             .or_insert_with(|| Demand::new(now, OWN_WINDOW))
@@ -300,7 +304,7 @@
     }
 
     /// Counts what all routers claim.
-    pub(crate) fn note_claims(&mut self, now: Instant, batch: &Batch) {
+    pub(crate) fn record_claims(&mut self, now: Instant, batch: &Batch) {
         for record in &batch.records {
             if let Record::Claim(claim) = record {
                 self.fleet
@@ -316,27 +320,31 @@
     /// What was asked here of late, or this router's part of what the fleet was asked if that is more: callers change
     /// routers as they are advised, and one that was never asked for a team would hold nothing of it when the log goes
     /// down.
-    fn demand_of(&self, now: Instant, team: &TeamId) -> f64 {
+    fn demand_rate(&self, now: Instant, team: &TeamId) -> f64 {
         let rate = |demand: Option<&Demand>| demand.map_or(0.0, |demand| demand.rate(now));
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
-        let part = rate(self.fleet.get(team)) / routers.max(1) as f64;
-        rate(self.demand.get(team)).max(part)
+        let share = rate(self.fleet.get(team)) / routers.max(1) as f64;
+        rate(self.demand.get(team)).max(share)
     }
 
     /// Brings holdings to what the policy wants, and refuses those that waited for budget in vain.
-    pub(crate) fn keep_house(&mut self, now: Instant) {
+    pub(crate) fn rebalance_holdings(&mut self, now: Instant) {
         self.fund_all(now);
-        let due = self.kept_house.is_none_or(|at| now >= at + KEEP_HOUSE);
+        let due = self
+            .kept_house
+            .is_none_or(|at| now >= at + REBALANCE_INTERVAL);
         if !self.serving() || !due {
             return;
         }
         self.kept_house = Some(now);
-        self.demand.retain(|_, demand| demand.rate(now) > FORGOTTEN);
-        self.fleet.retain(|_, demand| demand.rate(now) > FORGOTTEN);
+        self.demand
+            .retain(|_, demand| demand.rate(now) > MIN_DEMAND_RATE);
+        self.fleet
+            .retain(|_, demand| demand.rate(now) > MIN_DEMAND_RATE);
         let asked = self.fleet.keys().cloned();
         let teams: IndexSet<_> = self.purses.keys().cloned().chain(asked).collect();
         for team in teams {
-            self.adjust(now, &team, Tokens::ZERO);
+            self.adjust_holding(now, &team, Tokens::ZERO);
         }
         let me = self.me;
         let ledger = &self.ledger;
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -58,7 +58,7 @@
         self.folded = Some(now);
         self.members.appended(now, batch.router);
         self.learn_crashes(now, batch, &verdicts);
-        self.note_claims(now, batch);
+        self.record_claims(now, batch);
         self.answer_shortage(now, batch, &verdicts);
         if self.phase == Phase::CatchingUp {
             return;
@@ -91,7 +91,7 @@
                 }
                 self.bill_verdict(now, request, &verdict);
             }
-            Ticket::Draw(team) => self.draw_verdict(now, &team, &verdict),
+            Ticket::Draw(team) => self.handle_draw_verdict(now, &team, &verdict),
             Ticket::Return(team, amount) => {
                 if let Some(purse) = self.purses.get_mut(&team) {
                     purse.end_debit(amount);
