--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -323,16 +323,16 @@
             Event::Load(vm, load) => self.endpoint_load(now, &vm, &load),
             Event::Cache(vm, events) => self.endpoint_cache(&vm, &events),
             Event::Admin(id, request) => self.admin(now, id, request),
-            Event::Table(table) => self.take_table(now, table),
+            Event::Table(table) => self.apply_table(now, table),
             Event::DrainedDomains(drained) => self.take_drained(now, &drained),
             Event::Cold(words) => self.endpoints_cold(now, &words),
             Event::TableUnsent(vm) => self.table_unsent(now, &vm),
             Event::TableConfirmed(at) => self.table_confirmed(now, at),
-            Event::Grants(event) => self.grants(now, event),
+            Event::Grants(event) => self.handle_grant_event(now, event),
             Event::Reads(reading) => self.reads(now, &reading),
-            Event::Given(id, gift) => self.given(id, &gift),
+            Event::Given(id, gift) => self.accept_gift(id, &gift),
             Event::Taken(gift, taken) => self.funds.taken(&gift, taken),
-            Event::LoanAsked(id, ask) => self.loan_asked(now, id, &ask),
+            Event::LoanAsked(id, ask) => self.handle_loan_ask(now, id, &ask),
             Event::Lent(ask, amount) => self.funds.lent(now, &ask, amount),
             Event::Tuned(tuning) => self.tune(*tuning),
             Event::Drain => self.drain(now),
@@ -405,7 +405,7 @@
     /// Sends off what has gathered.
     fn flush(&mut self, now: Instant) {
         if let Accounting::Grants(_) = self.tuning.accounting {
-            self.step_funds(now);
+            self.step_budgets(now);
             return;
         }
         if self.phase == Phase::CatchingUp {
@@ -434,7 +434,7 @@
         self.beat(now);
         self.fetch_table(now);
         self.tick_pools(now);
-        self.go_on_leaving(now, tuning.linger);
+        self.continue_drain(now, tuning.linger);
     }
 
     /// Does what time asks for where budgets are kept by the ledger.
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -39,11 +39,11 @@
 
 /// How far the times at which callers may come back after a cut are spread: they were refused over seconds, and together they
 /// would meet the endpoints in one moment.
-const SPREAD: f64 = 0.25;
+const RETRY_SPREAD: f64 = 0.25;
 
 impl Core {
     /// Takes over a configuration. An older one than that in force changes nothing.
-    pub(crate) fn take_table(&mut self, now: Instant, table: Arc<RouteTable>) {
+    pub(crate) fn apply_table(&mut self, now: Instant, table: Arc<RouteTable>) {
         let old = self.table.as_ref().map(|table| table.version);
         if old.is_some_and(|old| old >= table.version) {
             return;
@@ -59,17 +59,17 @@
         self.funds.update_prepaid(now, &table);
         self.table = Some(table);
         self.rebuild_pools(now);
-        self.open_with_grants();
+        self.serve_with_grants();
     }
 
     /// Takes in what happened at the log that keeps grants.
-    pub(crate) fn grants(&mut self, now: Instant, event: GrantEvent) {
+    pub(crate) fn handle_grant_event(&mut self, now: Instant, event: GrantEvent) {
         self.funds.handle_event(now, event);
-        self.open_with_grants();
+        self.serve_with_grants();
     }
 
     /// Begins to serve once the configuration, the endpoints and the grants are known.
-    pub(crate) fn open_with_grants(&mut self) {
+    pub(crate) fn serve_with_grants(&mut self) {
         let ready = self.table.is_some()
             && self.funds.is_loaded()
             && !self.members.roster.list().vms.is_empty();
@@ -104,7 +104,7 @@
     }
 
     /// Sends on the requests that have their budget now, refuses those that can't have it, and asks the log for more.
-    pub(crate) fn step_funds(&mut self, now: Instant) {
+    pub(crate) fn step_budgets(&mut self, now: Instant) {
         for (who, amount) in self.funds.funded(now) {
             match who {
                 Waiter::Request(id) => {
@@ -143,7 +143,7 @@
     }
 
     /// Takes in what a router that stops hands over.
-    pub(crate) fn given(&mut self, id: AdminId, gift: &Gift) {
+    pub(crate) fn accept_gift(&mut self, id: AdminId, gift: &Gift) {
         let status = if self.serving() { 200 } else { 503 };
         if self.serving() {
             self.funds.given(gift);
@@ -152,7 +152,7 @@
     }
 
     /// Answers another router's question for a loan.
-    pub(crate) fn loan_asked(&mut self, now: Instant, id: AdminId, ask: &LoanAsk) {
+    pub(crate) fn handle_loan_ask(&mut self, now: Instant, id: AdminId, ask: &LoanAsk) {
         if let Some(amount) = self.funds.lend(now, id, ask) {
             self.answer_loans(vec![id], amount);
         }
@@ -179,7 +179,7 @@
             false => LOST_RETRY,
         };
         let retry = self.funds.cut_left(now).unwrap_or(usual);
-        let retry = retry.mul_f64(1.0 + self.rng.random_range(0.0..SPREAD));
+        let retry = retry.mul_f64(1.0 + self.rng.random_range(0.0..RETRY_SPREAD));
         let problem = match why {
             Unfunded::Spent => {
                 let detail = format!("the team {team} has not {amount} tokens left for it");
@@ -229,7 +229,7 @@
 
     /// Ends a planned stop: no caller still keeps the address, what no request in progress needs went back, and then nothing
     /// is in progress any more.
-    pub(crate) fn go_on_leaving(&mut self, now: Instant, linger: Duration) {
+    pub(crate) fn continue_drain(&mut self, now: Instant, linger: Duration) {
         let Phase::Draining { since, closing } = self.phase else {
             return;
         };
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -265,7 +265,7 @@
         self.rebuild_pools(now);
         self.share_retries();
         if let Accounting::Grants(_) = self.tuning.accounting {
-            self.open_with_grants();
+            self.serve_with_grants();
         }
     }
 
