--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -76,7 +76,7 @@
 /// What a router may spend.
 #[derive(Debug)]
 pub(crate) struct GrantBudgets {
-    pub(super) grants: GrantState,
+    pub(super) book: GrantState,
     pub(super) budgets: IndexMap<TeamId, GrantBudget>,
     pub(super) policy: HoldingPolicy,
     /// Whether a call is on its way.
@@ -115,7 +115,7 @@
         clock: BootClock,
     ) -> Self {
         Self {
-            grants: GrantState::new(vm, me),
+            book: GrantState::new(vm, me),
             budgets: IndexMap::new(),
             policy: HoldingPolicy::covering(DEMAND_COVER, holding_ratio(lean)),
             in_flight: false,
@@ -173,7 +173,7 @@
 
     /// Returns whether the grants were ever read.
     pub(crate) fn is_loaded(&self) -> bool {
-        self.grants.end().is_some()
+        self.book.end().is_some()
     }
 
     /// Reserves what a request may cost; a team without a limit needs no reservation.
@@ -221,9 +221,9 @@
         match event {
             GrantEvent::Read { rows, end } => {
                 for (offset, key, row) in rows {
-                    self.grants.apply(offset, &key, row);
+                    self.book.apply(offset, &key, row);
                 }
-                self.grants.advance(end);
+                self.book.advance(end);
                 self.behind = false;
                 self.record_answer(now);
             }
@@ -232,7 +232,7 @@
                 self.reread_all();
             }
             GrantEvent::Landed(at) => {
-                let records = self.grants.confirm(at);
+                let records = self.book.confirm(at);
                 self.log_grants(&records);
                 self.record_answer(now);
             }
@@ -241,11 +241,11 @@
                 self.clear_failures();
             }
             GrantEvent::Refused(at) => {
-                self.grants.reject(at);
+                self.book.reject(at);
                 self.record_failure(now);
             }
             GrantEvent::Lost(at) => {
-                self.grants.mark_uncertain(at);
+                self.book.mark_uncertain(at);
                 self.record_failure(now);
             }
             GrantEvent::Unread => self.record_failure(now),
@@ -261,7 +261,7 @@
         let reviews = self.is_review_due(now);
         let leaving = self.stay == Stay::Leaving;
         let unsettled =
-            self.behind || leaving || self.grants.pending().is_some() || !self.is_loaded();
+            self.behind || leaving || self.book.pending().is_some() || !self.is_loaded();
         waits
             || !self.low_teams.is_empty()
             || !self.in_flight && now >= self.retry_at && (reviews || unsettled)
@@ -278,13 +278,13 @@
     }
 
     fn next_call(&mut self, now: Instant) -> Option<Effect> {
-        let Some(end) = self.grants.end() else {
+        let Some(end) = self.book.end() else {
             return Some(Effect::ReadGrants(None));
         };
         if self.behind {
             return Some(Effect::ReadGrants(Some(end)));
         }
-        if let Some(pending) = self.grants.pending() {
+        if let Some(pending) = self.book.pending() {
             return Some(Effect::ProposeGrants(pending.clone()));
         }
         // What is given up to a log that does not answer could not be handed over.
@@ -318,7 +318,7 @@
                 .get(team)
                 .map_or(Tokens::ZERO, |budget| budget.prepaid)
         };
-        if let Some(proposal) = self.grants.propose(changes, &start, prepaid) {
+        if let Some(proposal) = self.book.propose(changes, &start, prepaid) {
             return Some(Effect::ProposeGrants(proposal));
         }
         // What others gave back since may cover those that wait.
@@ -328,14 +328,14 @@
     /// Reads all anew: the log let go of records that were not read.
     fn reread_all(&mut self) {
         warn!(event = "grants-gone");
-        self.grants.restart();
+        self.book.restart();
     }
 
     /// Logs the grants that stand from now on: who reads the logs sees from them where a budget lies, and which part of a dead
     /// lifetime's grant stays lost: what was in use, what could be used at once, and what opened for the time that passed.
     fn log_grants(&self, records: &[(GrantKey, GrantRow)]) {
         for (key, row) in records {
-            match self.grants.is_own(key) {
+            match self.book.is_own(key) {
                 true => self.log_granted(&key.team, row),
                 false => log_given_back(key, row),
             }
@@ -386,7 +386,7 @@
 
     /// Returns what can be reserved now.
     pub(super) fn available(&self, now: Instant, team: &TeamId) -> Tokens {
-        self.remaining(team, self.grants.usable_at(team, &self.clock.own(now)))
+        self.remaining(team, self.book.usable_at(team, &self.clock.own(now)))
     }
 
     /// Returns what a request of a priority can reserve now.
@@ -400,7 +400,7 @@
 
     /// Returns what is held and not in use, though it may not all be used at once.
     pub(super) fn held(&self, team: &TeamId) -> Tokens {
-        self.remaining(team, self.grants.granted(team))
+        self.remaining(team, self.book.granted(team))
     }
 
     /// Returns what is left of a part of a grant.
@@ -416,14 +416,14 @@
             .get(team)
             .map_or(Tokens::ZERO, |budget| budget.prepaid);
         self.held(team)
-            .saturating_add(self.grants.undrawn(team, prepaid))
+            .saturating_add(self.book.undrawn(team, prepaid))
     }
 
     /// Returns the most that can be left of a team's budget, by all that is known to be used.
     pub(super) fn max_left(&self, team: &TeamId) -> Tokens {
         self.budgets.get(team).map_or(Tokens::ZERO, |budget| {
             let here = budget.spent.saturating_add(budget.reserved);
-            let used = here.saturating_add(self.grants.spent_by_others(team));
+            let used = here.saturating_add(self.book.spent_by_others(team));
             let in_transit = match self.ownership.is_everyone() {
                 true => Tokens::ZERO,
                 false => Tokens(budget.prepaid.0 / IN_TRANSIT_DIVISOR),
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -62,9 +62,9 @@
     /// Returns whether all that is not in use was given back.
     pub(crate) fn left_all(&self) -> bool {
         let teams = self.budgets.keys();
-        let mut idle = teams.map(|team| self.held(team).min(self.grants.granted(team)));
+        let mut idle = teams.map(|team| self.held(team).min(self.book.granted(team)));
         let giving = self.budgets.values().any(|a| a.loans.is_giving());
-        let settled = self.grants.pending().is_none() || self.failures > 0;
+        let settled = self.book.pending().is_none() || self.failures > 0;
         settled && !giving && idle.all(|idle| idle == Tokens::ZERO)
     }
 
@@ -110,7 +110,7 @@
         }
         let made = self.clock.at(now);
         let changes = self.budgets.iter().filter_map(|(team, allowance)| {
-            let old = self.grants.granted(team);
+            let old = self.book.granted(team);
             let granted = self.wanted_grant(now, team, allowance);
             // Were rests given back at each call for another team's request, the one partition would take little else.
             let is_rest = granted < old && allowance.waiting.is_empty();
@@ -155,7 +155,7 @@
 
     /// Returns what a grant should be.
     fn wanted_grant(&self, now: Instant, team: &TeamId, allowance: &GrantBudget) -> Tokens {
-        let granted = self.grants.granted(team);
+        let granted = self.book.granted(team);
         let free = self.held(team);
         if self.is_owned_elsewhere(now, team) {
             return granted - free.min(granted);
@@ -167,7 +167,7 @@
         let share = Share {
             free,
             claimed: allowance.reserved,
-            undrawn: self.grants.undrawn(team, allowance.prepaid),
+            undrawn: self.book.undrawn(team, allowance.prepaid),
             routers: self.sharers(team),
             demand: allowance.rate(now),
             team: allowance.rate(now) + self.peer_budgets.demand(team),
@@ -225,7 +225,7 @@
         allowance: &GrantBudget,
         granted: Tokens,
     ) -> Opening {
-        let drawn = granted.saturating_sub(self.grants.granted(team));
+        let drawn = granted.saturating_sub(self.book.granted(team));
         let held = self.held(team).saturating_add(drawn);
         let flow = allowance.outflow_rate(now).min(allowance.rate(now));
         decide::opening(flow, held, DEMAND_COVER)
@@ -242,13 +242,13 @@
         allowance: &GrantBudget,
         new: &SpendPace,
     ) -> bool {
-        let row = self.grants.row(team);
+        let row = self.book.row(team);
         let Some(old) = row.pace else {
             return row.granted > Tokens::ZERO;
         };
         let rate = old.rate.0.abs_diff(new.rate.0) as f64;
         let rate_changed = rate > old.rate.0 as f64 * RATE_CHANGE;
-        let open = self.grants.usable_at(team, &self.clock.own(now));
+        let open = self.book.usable_at(team, &self.clock.own(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
         let outgrown =
             opened > new.rate.over(LONGEST_OPENING) && allowance.is_worth_writing(opened);
--- a/src/router/statement.rs
+++ b/src/router/statement.rs
@@ -20,10 +20,10 @@
         };
         let rest = self.remainder(now, team);
         info!(
-            event = "budget", %request, %team, prepaid = %allowance.prepaid, granted = %self.grants.granted(team),
+            event = "budget", %request, %team, prepaid = %allowance.prepaid, granted = %self.book.granted(team),
             reserved = %allowance.reserved, spent = %allowance.spent,
-            elsewhere = %self.grants.granted_to_others(team), spent_elsewhere = %self.grants.spent_by_others(team),
-            undrawn = %self.grants.undrawn(team, allowance.prepaid), in_reach = %rest.left,
+            elsewhere = %self.book.granted_to_others(team), spent_elsewhere = %self.book.spent_by_others(team),
+            undrawn = %self.book.undrawn(team, allowance.prepaid), in_reach = %rest.left,
             demand = rest.demand as u64, lasts_ms = rest.lasts.as_millis() as u64,
             age_ms = self.word_age(now),
         );
@@ -35,14 +35,14 @@
             json!({
                 "team": team,
                 "prepaid": allowance.prepaid,
-                "granted_here": self.grants.granted(team),
+                "granted_here": self.book.granted(team),
                 "reserved_here": allowance.reserved,
                 "spent_here": allowance.spent,
                 "lent": allowance.loans.lent(),
                 "borrowed": allowance.loans.borrowed(),
-                "granted_elsewhere": self.grants.granted_to_others(team),
-                "spent_elsewhere_at_least": self.grants.spent_by_others(team),
-                "undrawn": self.grants.undrawn(team, allowance.prepaid),
+                "granted_elsewhere": self.book.granted_to_others(team),
+                "spent_elsewhere_at_least": self.book.spent_by_others(team),
+                "undrawn": self.book.undrawn(team, allowance.prepaid),
                 "waiting": allowance.waiting.len(),
             })
         });
@@ -50,7 +50,7 @@
             "teams": budgets.collect::<Vec<_>>(),
             "log_word_age_ms": self.word_age(now),
             "log_failures": self.failures,
-            "pending": self.grants.pending().is_some(),
+            "pending": self.book.pending().is_some(),
         })
     }
 
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -104,7 +104,7 @@
             let held = self.held(&team);
             let fresh = self.fresh_at;
             let borrows = self.budgets[&team].loans.may_bring(now);
-            let away = self.failures > 0 || self.grants.end().is_none();
+            let away = self.failures > 0 || self.book.end().is_none();
             self.budgets[&team].waiting.retain(|waiting| {
                 let asked = fresh.is_some_and(|at| at + MAX_STALENESS >= waiting.since);
                 let loan = matches!(waiting.who, Waiter::Loan(..));
