--- a/src/escrow/grant_state.rs
+++ b/src/escrow/grant_state.rs
@@ -12,21 +12,21 @@
 use crate::moment::ClockReading;
 use crate::tokens::Tokens;
 
-/// One team's new grant to this router.
+/// A new grant of one team's budget to this router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct GrantChange {
-    /// The team.
+    /// The team whose budget is granted.
     pub(crate) team: TeamId,
-    /// What the grant is to be.
+    /// The new grant.
     pub(crate) row: GrantRow,
 }
 
-/// Records to be appended on the condition that the partition ends at an offset.
+/// Records to append on the condition that the partition ends at an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Proposal {
-    /// The offset that the first of them must have.
+    /// The offset that the first record must have.
     pub(crate) at: Offset,
-    /// The records, all or none of which are appended.
+    /// The records, of which all or none are appended.
     pub(crate) records: Vec<(GrantKey, GrantRow)>,
 }
 
@@ -36,19 +36,19 @@
     offset: Offset,
 }
 
-/// One team's grants, with the sums that are asked for at each request that waits. Added up anew each time, those of two
-/// hundred routers and of all that died took a tenth of a router's processor.
+/// One team's grants, with the sums that each waiting request needs. Computing them each time, over the grants of two
+/// hundred routers and of all dead incarnations, took a tenth of a router's processor.
 #[derive(Clone, Debug, Default)]
 struct TeamGrants {
     rows: IndexMap<(VmId, Incarnation), Entry>,
-    /// What all lifetimes but this one may spend.
+    /// What all incarnations but this one may spend.
     granted_to_others: Tokens,
-    /// What they are known to have spent.
+    /// What those are known to have spent.
     spent_by_others: Tokens,
 }
 
 impl TeamGrants {
-    /// Takes in the newest record of a lifetime.
+    /// Inserts the newest record of an incarnation.
     fn put(&mut self, holder: (VmId, Incarnation), entry: Entry, own: bool) {
         let new = entry.row;
         let old = self.rows.insert(holder, entry).map(|old| old.row);
@@ -62,19 +62,19 @@
     }
 }
 
-/// The grants that were read, and the one append of this router that may be on its way.
+/// The grants that were read, and the one append of this router that may be pending.
 ///
-/// An append whose answer was lost may still take effect, seconds later, as long as its condition holds. Until the
-/// partition is known to have moved past that offset, what the append gives up counts as given up and what it takes
+/// An append whose answer was lost may still take effect seconds later, as long as its condition holds. Until the
+/// partition is known to have advanced past that offset, what the append gives up counts as given up, and what it takes
 /// counts as not taken.
 #[derive(Clone, Debug)]
 pub(crate) struct GrantState {
     vm: VmId,
     me: Incarnation,
-    /// The offset that follows the last record that was applied; nothing before the first read.
+    /// The offset after the last applied record; `None` before the first read.
     end: Option<Offset>,
     teams: IndexMap<TeamId, TeamGrants>,
-    /// The grants of earlier lifetimes on this VM.
+    /// The grants of earlier incarnations on this VM.
     earlier_incarnations: IndexSet<(TeamId, Incarnation)>,
     pending: Option<Proposal>,
     /// Whether an answer to the pending append was lost, so that it may still take effect.
@@ -82,7 +82,7 @@
 }
 
 impl GrantState {
-    /// Makes one that knows nothing, for a lifetime of the router on a VM.
+    /// Creates an empty state for an incarnation of the router on a VM.
     pub(crate) fn new(vm: VmId, me: Incarnation) -> Self {
         Self {
             vm,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Returns the offset up to which the partition is known; nothing before the first read.
+    /// Returns the offset up to which the partition is known; `None` before the first read.
     pub(crate) fn end(&self) -> Option<Offset> {
         self.end
     }
 
-    /// Returns whether a grant is this lifetime's own.
+    /// Returns whether a grant belongs to this incarnation.
     pub(crate) fn is_own(&self, key: &GrantKey) -> bool {
         key.router == self.me
     }
@@ -110,7 +110,8 @@
         self.pending.as_ref()
     }
 
-    /// Applies a record that was read, in any order; an older record of a key changes nothing.
+    /// Applies a record that was read. Records may come in any order; one that is older than the known record of its
+    /// key is ignored.
     pub(crate) fn apply(&mut self, offset: Offset, key: &GrantKey, row: GrantRow) {
         let holder = (key.vm.clone(), key.router);
         let own = self.is_own(key);
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Notes that all records before an offset are applied. An append that was to begin before it is settled: it stands
-    /// among those records or never will.
+    /// Records that everything before an offset has been applied. A pending append at a lower offset is settled: it is
+    /// among those records or will never take effect.
     pub(crate) fn advance(&mut self, end: Offset) {
         self.end = self.end.max(Some(end));
         if self.pending.as_ref().is_some_and(|p| p.at < end) {
@@ -135,9 +136,9 @@
         }
     }
 
-    /// Proposes new grants to this router, and gives back what earlier lifetimes on its VM can't have touched, `start` being
-    /// the moment at which this one began. Nothing is proposed while an earlier proposal is not settled, the partition was
-    /// never read, or the sum would pass a team's `prepaid`.
+    /// Proposes new grants to this router, and returns what earlier incarnations on its VM cannot have used before this
+    /// one began at `start`. Proposes nothing while an earlier proposal is not settled, before the first read of the
+    /// partition, or if the sum would exceed a team's `prepaid`.
     pub(crate) fn propose<F>(
         &mut self,
         changes: Vec<GrantChange>,
@@ -170,7 +171,7 @@
         Some(proposal)
     }
 
-    /// Takes the log's word that the pending proposal was appended, and returns what it was.
+    /// Handles the log's confirmation that the pending proposal was appended, and returns the proposal's records.
     pub(crate) fn confirm(&mut self, at: Offset) -> Vec<(GrantKey, GrantRow)> {
         let Some(pending) = self.pending.take_if(|p| p.at == at) else {
             return Vec::new();
@@ -184,25 +185,26 @@
         pending.records
     }
 
-    /// Takes note that nobody knows whether the pending proposal was appended.
+    /// Records that it is unknown whether the pending proposal was appended.
     pub(crate) fn mark_uncertain(&mut self, at: Offset) {
         self.uncertain |= self.pending.as_ref().is_some_and(|p| p.at == at);
     }
 
-    /// Takes the log's word that it did nothing about the pending proposal. Where an earlier answer about it was lost, that
-    /// earlier append may still take effect, and the proposal stays.
+    /// Handles the log's answer that it did not append the pending proposal. If an earlier answer about it was lost,
+    /// that earlier append may still take effect, and the proposal stays pending.
     pub(crate) fn reject(&mut self, at: Offset) {
         if !self.uncertain {
             self.pending.take_if(|p| p.at == at);
         }
     }
 
-    /// Forgets how far it was read: the log let go of records that were not, and all grants are to be read anew.
+    /// Forgets how far the partition was read: the log has deleted records that were not read, and all grants must be
+    /// read again.
     pub(crate) fn restart(&mut self) {
         self.end = None;
     }
 
-    /// Returns what this lifetime may spend of a team's budget in all, whatever becomes of what is pending.
+    /// Returns what this incarnation may spend of a team's budget in total, whatever the outcome of the pending append.
     pub(crate) fn granted(&self, team: &TeamId) -> Tokens {
         let current = self.row(team).granted;
         match self.proposed(team) {
@@ -211,8 +213,8 @@
         }
     }
 
-    /// Returns how much of what it was granted of a team's budget this lifetime may have in use at a moment, whatever becomes
-    /// of what is pending.
+    /// Returns how much of its grant of a team's budget this incarnation may have in use at a moment, whatever the
+    /// outcome of the pending append.
     pub(crate) fn usable_at(&self, team: &TeamId, at: &ClockReading) -> Tokens {
         let current = self.row(team).usable_at(at);
         match self.proposed(team) {
@@ -221,11 +223,12 @@
         }
     }
 
-    /// Returns the grants of earlier lifetimes on this VM, less what they can't have touched before this one began at
-    /// `start`.
+    /// Returns the grants of earlier incarnations on this VM, reduced to what they can have used before this one began
+    /// at `start`.
     ///
-    /// The lifetime that wrote such a grant is over, or this one would not run on its VM. An append of it that is still on
-    /// its way takes effect before this one's, which then fails for its condition and is reckoned anew, or never.
+    /// The incarnation that wrote such a grant is over, or this one would not run on its VM. An append of it that is
+    /// still in flight either takes effect before this one's, which then fails its condition and is computed again, or
+    /// never takes effect.
     fn reclaimable(&self, start: &ClockReading) -> Vec<(GrantKey, GrantRow)> {
         let mut reclaimable = Vec::new();
         for (team, router) in &self.earlier_incarnations {
@@ -239,7 +242,7 @@
                 router: *router,
                 team: team.clone(),
             };
-            // The promise stays: more is given back once more clocks tell how little time passed.
+            // The pace stays as it is: more is returned once more clocks show how little time passed.
             let row = GrantRow {
                 granted: max_spent,
                 ..row
@@ -249,7 +252,7 @@
         reclaimable
     }
 
-    /// Returns the most that this lifetime's grant may be, whatever becomes of what is pending.
+    /// Returns the most that this incarnation's grant may be, whatever the outcome of the pending append.
     fn max_granted(&self, team: &TeamId) -> Tokens {
         let current = self.row(team).granted;
         match self.proposed(team) {
@@ -258,19 +261,19 @@
         }
     }
 
-    /// Returns what all other lifetimes may spend of a team's budget.
+    /// Returns what all other incarnations may spend of a team's budget.
     pub(crate) fn granted_to_others(&self, team: &TeamId) -> Tokens {
         let grants = self.teams.get(team);
         grants.map_or(Tokens::ZERO, |grants| grants.granted_to_others)
     }
 
-    /// Returns what all other lifetimes are known to have spent; they may have spent more.
+    /// Returns what all other incarnations are known to have spent; they may have spent more.
     pub(crate) fn spent_by_others(&self, team: &TeamId) -> Tokens {
         let grants = self.teams.get(team);
         grants.map_or(Tokens::ZERO, |grants| grants.spent_by_others)
     }
 
-    /// Returns what is granted to no one.
+    /// Returns what is granted to nobody.
     pub(crate) fn undrawn(&self, team: &TeamId, prepaid: Tokens) -> Tokens {
         let held = self
             .granted_to_others(team)
@@ -278,7 +281,7 @@
         prepaid.saturating_sub(held)
     }
 
-    /// Returns this lifetime's grant as it stands in the log.
+    /// Returns this incarnation's grant as it stands in the log.
     pub(crate) fn row(&self, team: &TeamId) -> GrantRow {
         self.row_of(team, self.me)
     }
@@ -290,7 +293,7 @@
         record.map(|(_, row)| *row)
     }
 
-    /// Returns the grant of a lifetime on this VM as it stands in the log.
+    /// Returns the grant of an incarnation on this VM as it stands in the log.
     fn row_of(&self, team: &TeamId, router: Incarnation) -> GrantRow {
         let holder = (self.vm.clone(), router);
         let grants = self.teams.get(team);
--- a/src/escrow/record.rs
+++ b/src/escrow/record.rs
@@ -1,4 +1,4 @@
-//! The records of grants.
+//! Grant records and their encoding.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,28 +14,28 @@
 use crate::moment::ClockReading;
 use crate::tokens::Tokens;
 
-/// Separates the parts of a key; names have no control characters.
+/// Separates the parts of a key; names contain no control characters.
 const KEY_SEPARATOR: char = '\t';
 
-/// Tells why a record is none of a grant.
+/// Why a record is not a grant.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub(crate) enum RecordError {
-    /// Its key has not three parts that are names.
-    #[error("the key {0:?} is not a VM, a lifetime and a team")]
+    /// The key does not consist of three valid names.
+    #[error("key {0:?} does not have the form VM, incarnation, team")]
     Key(String),
-    /// Its value can't be decoded.
-    #[error("the value can't be decoded: {0}")]
+    /// The value cannot be decoded.
+    #[error("grant value cannot be decoded: {0}")]
     Value(String),
 }
 
-/// Whose grant it is and of which budget.
+/// The key of a grant: whose it is, and of which budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct GrantKey {
     /// The router's VM.
     pub(crate) vm: VmId,
-    /// The lifetime of its process.
+    /// The incarnation of its process.
     pub(crate) router: Incarnation,
-    /// The budget's team.
+    /// The team whose budget is granted.
     pub(crate) team: TeamId,
 }
 
@@ -67,25 +67,25 @@
 /// A grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GrantRow {
-    /// The most that the lifetime may ever spend of the budget.
+    /// The most that the incarnation may ever spend of the budget.
     pub(crate) granted: Tokens,
-    /// What it had spent when it wrote this; it may have spent more since, up to the grant.
+    /// What it had spent when the record was written; it may have spent more since, up to the grant.
     pub(crate) spent: Tokens,
-    /// How fast it will spend the grant, if it promises anything.
+    /// How fast it will spend the grant, if it commits itself to a pace.
     pub(crate) pace: Option<SpendPace>,
 }
 
-/// The code of an option that holds nothing.
+/// The encoding of an empty option.
 const NONE_TAG: u8 = 0;
 
 impl GrantRow {
-    /// Returns how much of it may be in use at a moment.
+    /// Returns how much of the grant may be in use at a moment.
     pub(crate) fn usable_at(&self, at: &ClockReading) -> Tokens {
         let usable = self.pace.and_then(|pace| pace.usable_at(at));
         usable.map_or(self.granted, |usable| usable.min(self.granted))
     }
 
-    /// Returns it as a record's value.
+    /// Encodes the grant as a record's value.
     ///
     /// # Panics
     ///
@@ -94,11 +94,12 @@
         postcard::to_stdvec(self).expect("numbers can be encoded")
     }
 
-    /// Reads it from a record's value. Those of earlier versions lack what has been added at the end since.
+    /// Decodes a grant from a record's value. Records of earlier versions lack the fields that were added at the end
+    /// since.
     ///
     /// # Errors
     ///
-    /// When the value is no grant.
+    /// When the value is not a grant.
     pub(crate) fn decode(value: &[u8]) -> Result<Self, RecordError> {
         let padded = |_| postcard::from_bytes(&[value, &[NONE_TAG]].concat());
         let row = postcard::from_bytes(value).or_else(padded);
--- a/src/escrow/spend_pace.rs
+++ b/src/escrow/spend_pace.rs
@@ -1,11 +1,12 @@
-//! How fast a router may spend what it was granted.
+//! How fast a router may spend its grant.
 //!
-//! A router that dies leaves nobody who knows what it had spent. If all of its grant has to count as spent, holding much for
-//! a cut from the log is dear: each death strands what was held. So each grant carries a promise: to use, beyond what was in
-//! use when it was written, only so much at once and so much a second from then on. A router in touch with the log writes
-//! its promise anew all the time and never feels it; one that is cut off may use more the longer the cut lasts, up to its
-//! whole grant. Who starts on the same VM knows for how long at most the dead one can have spent after its last promise, and
-//! gives back what it can't have touched.
+//! When a router dies, nobody knows what it had spent. If its whole grant had to count as spent, a grant large enough
+//! for an outage of the log would be costly: each death would strand all that was held. Each grant therefore carries a
+//! spending pace, a commitment to use, beyond what was in use when the record was written, only so much at once and so
+//! much a second from then on. A router in contact with the log renews its pace all the time and is never slowed by it;
+//! one that is cut off may use more the longer the outage lasts, up to its whole grant. The next incarnation on the
+//! same VM knows for how long at most the dead one can have spent after its last pace was written, and returns what it
+//! cannot have used.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 use crate::tokens::TokenRate;
 use crate::tokens::Tokens;
 
-/// A promise about how fast a grant will be spent.
+/// A commitment on how fast a grant will be spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SpendPace {
     /// When it was made.
@@ -27,15 +28,16 @@
     pub(crate) used: Tokens,
     /// How much more may be in use at once.
     pub(crate) room: Tokens,
-    /// How much more yet for the time that passed since.
+    /// How much more may be in use for each second that has passed since.
     pub(crate) rate: TokenRate,
-    /// What the fleet's clocks read when it was made, if enough of them were known. It stands last: records of versions
-    /// that did not say it end before it.
+    /// What the clocks of the fleet showed when it was made, if enough of them were known. The field comes last:
+    /// records of versions that did not have it end before it.
     pub(crate) fleet: Option<Span>,
 }
 
 impl SpendPace {
-    /// Returns how much may be in use at a moment; nothing is known of moments before the promise, or after another boot.
+    /// Returns how much may be in use at a moment; `None` for moments before the pace was set or after another boot,
+    /// about which nothing is known.
     pub(crate) fn usable_at(&self, at: &ClockReading) -> Option<Tokens> {
         let made = ClockReading {
             own: self.made,
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -1,4 +1,4 @@
-//! Reserving a request's cost, and drawing and returning budget for that.
+//! Reserving the cost of requests from budgets that the ledger keeps, and drawing and returning budget for it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,30 +23,31 @@
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
-/// How long a request waits for other routers to give back what they hold idle, once nothing is left to draw: three
-/// commits (the draw that came back short, their returns, the next draw) of 25 ms and the log's own time, doubled.
+/// How long a request waits for other routers to return idle budget when nothing is left to draw: three commits (the
+/// draw that fell short, their returns, the next draw) of 25 ms and the latency of the log, doubled.
 const SHORTAGE_WAIT: Duration = Duration::from_millis(400);
 
-/// When a caller whose team's budget is spent may come back: top-ups are made by people.
+/// The retry delay for a caller whose team's budget is spent: top-ups are made by people.
 const SPENT_RETRY: Duration = Duration::from_secs(30);
 
-/// When it may come back while other routers still hold some: they give it back as their requests end.
+/// The retry delay while other routers still hold some of the budget: they return it as their requests end.
 const HELD_RETRY: Duration = Duration::from_secs(2);
 
-/// How often holdings are brought to what the policy wants: demand is averaged over half a minute.
+/// How often holdings are adjusted to the policy: demand is averaged over half a minute.
 const REBALANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The time over which a team's demand at one router is averaged.
+/// The window over which a team's demand at one router is averaged.
 const OWN_WINDOW: Duration = Duration::from_secs(30);
 
-/// The time over which a team's demand in the fleet is averaged: what comes here by chance is rarer.
+/// The window over which a team's demand in the fleet is averaged; it is longer because requests that reach this router
+/// by chance are rarer.
 const FLEET_WINDOW: Duration = Duration::from_secs(300);
 
-/// A rate, in tokens a second, that is as good as none: one request an hour.
+/// Teams with less demand than this, in tokens a second, are no longer tracked: one request an hour.
 const MIN_DEMAND_RATE: f64 = 0.01;
 
 impl Core {
-    /// Reserves what a request can cost, or has it wait for budget.
+    /// Reserves what a request may cost, or queues it until budget is available.
     pub(crate) fn fund(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -63,7 +64,7 @@
         self.fund_team(now, &team);
     }
 
-    /// Reserves for all that wait.
+    /// Reserves for all waiting requests.
     pub(crate) fn fund_all(&mut self, now: Instant) {
         let teams: Vec<_> = self
             .purses
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Reserves for those that wait for a team's budget, and draws for the rest.
+    /// Reserves for the requests that wait for a team's budget, and draws for the rest.
     fn fund_team(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
         let Some(budget) = self.purses.get_mut(team) else {
@@ -90,7 +91,8 @@
             if !matches!(request.state, State::Funding { .. }) {
                 continue;
             }
-            // A small request may pass a large one: the large one is refused if it can't be had, not the small one.
+            // A small request may overtake a large one: the large one is refused if it cannot be covered, not the small
+            // one.
             if budget.available(free) >= request.reserve {
                 budget.debit(request.reserve);
                 request.stake = Stake::Funded;
@@ -105,10 +107,11 @@
         self.draw_for_waiting(now, team);
     }
 
-    /// Draws for the requests that wait, and has those wait for other routers' holdings that what is left can't cover.
+    /// Draws for the waiting requests; those that the undrawn budget cannot cover wait for the holdings of other
+    /// routers.
     ///
-    /// Were all of them drawn for at once, a draw for more than is left would not be made at all, and a request that what
-    /// is left covers would wait for its deadline behind one that it does not.
+    /// If all of them were drawn for at once, a draw for more than is left would not be made at all, and a request that
+    /// the undrawn budget covers would wait until its deadline behind one that it does not cover.
     fn draw_for_waiting(&mut self, now: Instant, team: &TeamId) {
         let Some(budget) = self.purses.get(team) else {
             return;
@@ -135,7 +138,7 @@
         if wanted > Tokens::ZERO {
             self.adjust_holding(now, team, wanted);
         } else if undrawn > Tokens::ZERO {
-            // What can't be made up here is given back, so that another router can make it up.
+            // Budget that cannot cover a request here is returned, so that it can cover one at another router.
             self.adjust_holding(now, team, missing);
         }
         if short.is_empty() {
@@ -147,7 +150,7 @@
         self.handle_short(now, team, &short);
     }
 
-    /// Draws though nothing is left: the others see the draw come back short, and give back what lies idle there.
+    /// Draws although nothing is left: the other routers see the draw fall short, and return their idle budget.
     fn signal_shortage(&mut self, team: &TeamId, wanted: Tokens) {
         let holding = self.ledger.holding(self.me, team);
         let own = holding.free + holding.claimed;
@@ -166,7 +169,8 @@
         self.appender.push(record, Ticket::Draw(team.clone()));
     }
 
-    /// Marks since when requests have nothing left to draw, and refuses those that no one can serve.
+    /// Records since when requests have had nothing left to draw, and refuses those that waited too long or that no
+    /// router can cover.
     fn handle_short(&mut self, now: Instant, team: &TeamId, short: &[RequestId]) {
         let unspent = self.ledger.team(team).map_or(Tokens::ZERO, |t| t.unspent());
         for id in short.iter().copied() {
@@ -187,7 +191,7 @@
     fn refuse_spent(&mut self, now: Instant, id: RequestId, unaffordable: bool) {
         let request = &self.requests[&id];
         let detail = format!(
-            "the team {} has not {} tokens left for it",
+            "team {} does not have {} tokens left for this request",
             request.team, request.reserve
         );
         let retry = if unaffordable {
@@ -199,7 +203,7 @@
         self.refuse_with(now, id, problem.retry_in(retry));
     }
 
-    /// Draws or returns what the policy says.
+    /// Draws or returns budget as the policy decides.
     pub(crate) fn adjust_holding(&mut self, now: Instant, team: &TeamId, wanted: Tokens) {
         let holding = self.ledger.holding(self.me, team);
         let Some(state) = self.ledger.team(team) else {
@@ -259,10 +263,10 @@
         self.fund_team(now, team);
     }
 
-    /// Gives back what lies idle here when another router's draw came back short.
+    /// Returns idle budget when another router's draw fell short.
     ///
-    /// Near the end of a budget its last tokens lie scattered over the routers, each too few for a request. Without
-    /// this a router would refuse a team whose tokens its neighbours hold.
+    /// Near the end of a budget its last tokens are scattered over the routers, in parts too small for a request.
+    /// Without this, a router would refuse a team whose tokens other routers hold.
     pub(crate) fn answer_shortage(&mut self, now: Instant, batch: &Batch, verdicts: &[Verdict]) {
         if batch.router == self.me || !self.serving() {
             return;
@@ -286,9 +290,9 @@
             return;
         };
         let idle = budget.available(free);
-        // What the next second is likely to need stays, lest the tokens go round in circles. But where a request waits, what
-        // lies here is too little for it: were it kept, each router would hold a part of what one request needs, and all
-        // would refuse.
+        // What the next second is likely to need stays, so that tokens do not circulate between routers. If a request
+        // waits here, nothing stays: what is held is too little for it, and if each router kept its part of what one
+        // request needs, all would refuse.
         let keep = match budget.waiting.is_empty() {
             true => Tokens(demand as u64).min(Tokens(idle.0 / 2)),
             false => Tokens::ZERO,
@@ -303,7 +307,7 @@
             .add(now, amount);
     }
 
-    /// Counts what all routers claim.
+    /// Counts the claims of all routers as demand of the fleet.
     pub(crate) fn record_claims(&mut self, now: Instant, batch: &Batch) {
         for record in &batch.records {
             if let Record::Claim(claim) = record {
@@ -315,11 +319,11 @@
         }
     }
 
-    /// Returns how fast a team is likely to be asked for here, in tokens a second.
+    /// Returns the demand for a team's budget that is expected here, in tokens a second.
     ///
-    /// What was asked here of late, or this router's part of what the fleet was asked if that is more: callers change
-    /// routers as they are advised, and one that was never asked for a team would hold nothing of it when the log goes
-    /// down.
+    /// This is the recent demand here, or this router's share of the fleet's demand if that is more: callers change
+    /// routers as they are advised, and a router that was never asked for a team would hold nothing of its budget when
+    /// the log goes down.
     fn demand_rate(&self, now: Instant, team: &TeamId) -> f64 {
         let rate = |demand: Option<&Demand>| demand.map_or(0.0, |demand| demand.rate(now));
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
@@ -327,7 +331,7 @@
         rate(self.demand.get(team)).max(share)
     }
 
-    /// Brings holdings to what the policy wants, and refuses those that waited for budget in vain.
+    /// Adjusts holdings to the policy, and refuses requests that waited too long for budget.
     pub(crate) fn rebalance_holdings(&mut self, now: Instant) {
         self.fund_all(now);
         let due = self
--- a/src/router/grant_budget.rs
+++ b/src/router/grant_budget.rs
@@ -1,4 +1,4 @@
-//! One team's budget, as far as this router spends it.
+//! One team's budget as far as this router spends it, where budgets are kept by grants.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,74 +14,74 @@
 use crate::router::loans::Loans;
 use crate::tokens::Tokens;
 
-/// The time over which a team's demand is averaged: as long as the bursts that one team makes.
+/// The window over which a team's demand is averaged: as long as the bursts of one team.
 const DEMAND_WINDOW: Duration = Duration::from_secs(5);
 
-/// The part of a reservation that is thought to be used before any request is over: prompts are mostly longer than
+/// The part of a reservation that is assumed to be used before any request has ended: prompts are mostly longer than
 /// answers, and answers mostly shorter than allowed.
 const INITIAL_USED_RATIO: f64 = 0.8;
 
-/// The weight of the newest request in averages: some thirty requests, a second or two of a busy team.
+/// The weight of the newest request in the averages, which span some thirty requests: a second or two of a busy team.
 const AVERAGE_WEIGHT: f64 = 0.03;
 
-/// What part of a mean request is not worth a write. Steps of a few tokens go back and forth for ever, since a part of
-/// them can't be given back.
+/// Amounts below this part of a mean request are not worth a write. Steps of a few tokens would alternate forever,
+/// since a part of them cannot be returned.
 const NEGLIGIBLE_RATIO: f64 = 0.05;
 
-/// What part of a mean request is worth a write though nobody waits.
+/// Amounts from this part of a mean request on are worth a write although nobody waits.
 const WORTHWHILE_RATIO: f64 = 0.25;
 
-/// A large request counts for so many in these averages at most.
+/// How many mean requests one large request counts for in these averages, at most.
 const MAX_SIZE_FACTOR: f64 = 4.0;
 
 /// Who waits for budget.
 #[derive(Clone, Debug)]
 pub(crate) enum Waiter {
-    /// A request of this router's.
+    /// A request at this router.
     Request(RequestId),
-    /// Another router, for which this one keeps the budget, and all its questions under one number.
+    /// Another router, for which this one keeps the budget, with all its loan requests under one number.
     Loan(Vec<AdminId>, LoanAsk),
 }
 
-/// Something that waits for budget.
+/// An entry in the queue for budget.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub(crate) who: Waiter,
     pub(crate) amount: Tokens,
-    /// How urgent it is, 0 being first.
+    /// The priority; 0 is the most urgent.
     pub(crate) priority: u8,
     pub(crate) since: Instant,
 }
 
-/// One team's budget, as far as this router spends it.
+/// One team's budget as far as this router spends it.
 #[derive(Debug)]
 pub(crate) struct GrantBudget {
     /// All that the team may ever use.
     pub(crate) prepaid: Tokens,
-    /// Promised to requests in progress.
+    /// Reserved for requests in progress.
     pub(crate) reserved: Tokens,
-    /// Used by requests that are over.
+    /// Used by requests that have ended.
     pub(crate) spent: Tokens,
     pub(crate) waiting: VecDeque<Waiting>,
-    /// What it is asked for, by priority, by callers here and at routers that borrow.
+    /// The demand by priority, of callers here and at routers that borrow.
     pub(crate) ration: Ration,
-    /// What it is asked for by callers here.
+    /// The demand of callers here.
     own_demand: Demand,
-    /// What is promised and lent of it, whoever asked.
+    /// What is reserved and lent, whoever asked.
     outflow: Demand,
-    /// All that callers here have asked for so far.
+    /// The total that callers here have asked for so far.
     pub(crate) asked: Tokens,
     borrowers: Borrowers,
-    /// The part of reservations that is used, and the mean reservation, of late.
+    /// The part of reservations that is used, and the mean reservation, as moving averages.
     pub(crate) used_ratio: f64,
     pub(crate) mean_reservation: f64,
-    /// When it was first used.
+    /// When it was first asked for.
     pub(crate) first_used: Option<Instant>,
     pub(crate) loans: Loans,
 }
 
 impl GrantBudget {
-    /// Makes one of which nothing is prepaid yet.
+    /// Creates a budget of which nothing is prepaid yet.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             prepaid: Tokens::ZERO,
@@ -100,22 +100,22 @@
         }
     }
 
-    /// Returns how fast the budget is asked for here, by callers and by routers that borrow, in tokens a second.
+    /// Returns the demand here, of callers and of routers that borrow, in tokens a second.
     pub(crate) fn rate(&self, now: Instant) -> f64 {
         self.scale_to_window(now, self.ration.rate(now))
     }
 
-    /// Returns a rate as it would be had its average seen all of its window.
+    /// Scales a rate to what it would be if its average had covered the whole window.
     ///
-    /// An average that began with nothing a second ago has seen a fifth of the rate; without the correction, a cut in the
-    /// first seconds would find grants that are far too small.
+    /// An average that began at nothing a second ago has seen a fifth of the rate. Without the correction, an outage of
+    /// the log in the first seconds would find grants that are far too small.
     fn scale_to_window(&self, now: Instant, rate: f64) -> f64 {
         let first = self.first_used.unwrap_or(now);
         rate / decide::seen(now, first, DEMAND_WINDOW)
     }
 
-    /// Returns how fast it goes to those that ask for it, in tokens a second. Of a budget that runs low that is less than they
-    /// ask for: those that are refused come back and ask again.
+    /// Returns how fast the budget is given to those that ask for it, in tokens a second. For a budget that runs low,
+    /// that is less than they ask for: refused callers come back and ask again.
     pub(crate) fn outflow_rate(&self, now: Instant) -> f64 {
         self.scale_to_window(now, self.outflow.rate(now))
     }
@@ -126,13 +126,13 @@
         self.outflow.add(now, Tokens(used as u64));
     }
 
-    /// Returns how fast callers here ask for it, in tokens a second.
+    /// Returns the demand of callers here, in tokens a second.
     pub(crate) fn own_rate(&self, now: Instant) -> f64 {
         self.scale_to_window(now, self.own_demand.rate(now))
     }
 
-    /// Counts a request among the demand, as what requests of its size used of late. Counted when it ends, a stream of
-    /// seconds would be missing in the first seconds of a demand.
+    /// Counts a request in the demand, at what requests of its size used recently. If it were counted when it ends, a
+    /// stream of several seconds would be missing in the first seconds of a demand.
     pub(crate) fn record_demand(&mut self, now: Instant, priority: u8, amount: Tokens) {
         self.first_used.get_or_insert(now);
         let used = Tokens((amount.0 as f64 * self.used_ratio) as u64);
@@ -141,7 +141,8 @@
         self.asked = self.asked.saturating_add(used);
     }
 
-    /// Counts what a borrower's callers asked for since its last question, of which each of so many owners is asked a part.
+    /// Counts what a borrower's callers asked for since its last loan request. The borrower asks several routers, and
+    /// each of the `owners` counts an equal part of it.
     pub(crate) fn record_loan_demand(&mut self, now: Instant, ask: &LoanAsk, owners: u64) {
         self.first_used.get_or_insert(now);
         let new = self.borrowers.ask(ask.borrower, ask.asked, ask.amount);
@@ -149,7 +150,7 @@
         self.ration.expect(now, ask.priority, part);
     }
 
-    /// Adds a question to one under the same number that waits; returns whether there is one.
+    /// Adds a loan request to a waiting one of the same number; returns whether there is one.
     pub(crate) fn join_waiting(&mut self, id: AdminId, ask: &LoanAsk) -> bool {
         for waiting in &mut self.waiting {
             if let Waiter::Loan(ids, first) = &mut waiting.who
@@ -162,7 +163,7 @@
         false
     }
 
-    /// Learns what part of its reservation a request used.
+    /// Updates the averages with what a request used of its reservation.
     pub(crate) fn update_averages(&mut self, reserved: Tokens, used: Tokens) {
         if reserved > Tokens::ZERO {
             let weight =
@@ -172,52 +173,53 @@
         }
     }
 
-    /// Returns whether an amount is not worth a write: nobody waits for it here, and it helps no request elsewhere.
+    /// Returns whether an amount is not worth a write: nobody waits for it here, and it is too small to help a request
+    /// elsewhere.
     pub(crate) fn is_negligible(&self, amount: Tokens) -> bool {
         self.waiting.is_empty() && (amount.0 as f64) < self.mean_reservation * NEGLIGIBLE_RATIO
     }
 
-    /// Returns whether an amount would be missed, were it lost.
+    /// Returns whether the loss of an amount would matter, so that it is worth a write.
     pub(crate) fn is_worth_writing(&self, amount: Tokens) -> bool {
         amount.0 as f64 >= self.mean_reservation * WORTHWHILE_RATIO
     }
 
-    /// Returns what was spent here, and lent to others, which spend it without a word to the log.
+    /// Returns what was spent here or lent to others, which spend it without reporting to the log.
     fn spent_or_lent(&self) -> Tokens {
         self.spent.saturating_add(self.loans.lent())
     }
 
-    /// Returns how much of the grant is gone: taken, less what was borrowed.
+    /// Returns how much of the grant is spent or lent, less what was borrowed.
     pub(crate) fn net_spent(&self) -> Tokens {
         self.spent_or_lent().saturating_sub(self.loans.borrowed())
     }
 
-    /// Returns how much of the grant is in use: taken or reserved, less what was borrowed.
+    /// Returns how much of the grant is in use: spent, lent or reserved, less what was borrowed.
     pub(crate) fn in_use(&self) -> Tokens {
         let held = self.reserved.saturating_add(self.spent_or_lent());
         held.saturating_sub(self.loans.borrowed())
     }
 
-    /// Returns what is left of a part of the grant, with what was borrowed.
+    /// Returns what is left of a part of the grant, including what was borrowed.
     pub(crate) fn remaining(&self, granted: Tokens) -> Tokens {
         let mine = granted.saturating_add(self.loans.borrowed());
         mine.saturating_sub(self.reserved.saturating_add(self.spent_or_lent()))
     }
 
-    /// Returns how urgent the most urgent one is that waits, 0 being first.
+    /// Returns the priority of the most urgent waiting entry; 0 is the most urgent.
     pub(crate) fn most_urgent(&self) -> u8 {
         let waiting = self.waiting.iter().map(|waiting| waiting.priority);
         waiting.min().unwrap_or(u8::MAX)
     }
 
-    /// Returns what the requests of callers here that wait may cost together.
+    /// Returns the most that the waiting requests of callers here may cost together.
     pub(crate) fn own_wanted(&self) -> Tokens {
         let own = |waiting: &&Waiting| matches!(waiting.who, Waiter::Request(_));
         let own = self.waiting.iter().filter(own);
         own.map(|waiting| waiting.amount).sum()
     }
 
-    /// Returns what all that wait may cost together.
+    /// Returns the most that all waiting entries may cost together.
     pub(crate) fn wanted(&self) -> Tokens {
         self.waiting.iter().map(|waiting| waiting.amount).sum()
     }
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -31,41 +31,42 @@
 use crate::router::review::Stay;
 use crate::tokens::Tokens;
 
-/// How much demand a grant covers: the longest time that all routers were seen parted from the log at once (9 s), and a
-/// second more for what is reserved and not used. See [`HOLDING_RATIO`] for what speaks against more.
+/// How much demand a grant covers: the longest time for which all routers were seen cut off from the log at once (9 s),
+/// and a second more for what is reserved and not used. See [`HOLDING_RATIO`] for the reason against more.
 pub(super) const DEMAND_COVER: Duration = Duration::from_secs(10);
 
-/// How much all routers together hold for each token undrawn: two thirds of what is left can be spent in a cut from the log.
-/// What is held is not lost where a router dies, since it opens slowly. With 1 a calm day with two cuts of eight seconds has
-/// 0.02 of its worth less, with 4 the routers that run low find less undrawn.
+/// How much all routers together hold for each undrawn token: two thirds of what is left can be spent while the log is
+/// out of reach. What is held is not lost when a router dies, since it becomes usable only gradually. With 1 the value
+/// served on a calm day with two log outages of eight seconds is lower by 0.02; with 4 the routers that run low find
+/// less undrawn.
 const HOLDING_RATIO: f64 = 2.0;
 
-/// The same, for a deployment that leans to availability: a third more, as where budgets are kept by the ledger. It was not
-/// measured.
+/// The same for a deployment that favours availability: a third more, as where budgets are kept by the ledger.
 const AVAILABLE_HOLDING_RATIO: f64 = 2.7;
 
-/// For how long the demand of more urgent requests is kept open in a cut. What they use opens again sooner than they come.
+/// During a log outage, the demand of more urgent requests for this long is kept available for them. What they use
+/// becomes available again before more of them arrive.
 const URGENT_RESERVE_TIME: Duration = Duration::from_millis(500);
 
-/// What part of a budget may lie at routers that borrowed it and count as spent, though it will come back: five seconds'
-/// leftovers of requests that use four fifths of what they reserve, of a budget for a minute or so. A caller is told that
-/// the budget is spent only where this part would not cover it either.
+/// One part in this many of a budget may lie at routers that borrowed it and count as spent, although it will be
+/// returned: the leftovers of five seconds of requests that use four fifths of what they reserve, of a budget for a
+/// minute or so. A caller is told that the budget is spent only if this part would not cover the request either.
 const IN_TRANSIT_DIVISOR: u64 = 50;
 
-/// How old the router's word from the log may be to tell a caller that a budget is spent.
+/// The greatest age of the router's knowledge of the log at which it may tell a caller that a budget is spent.
 pub(super) const MAX_STALENESS: Duration = Duration::from_millis(500);
 
-/// The first rest after a call that failed; it doubles with each further one.
+/// The delay after the first failed call to the log; it doubles with each further failure.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest rest: how late the end of an outage may be noticed. Until then no promise is written, and what has opened
-/// meanwhile is stranded if the routers die.
+/// The longest such delay: how late the end of an outage may be noticed. Until then no spending pace is renewed, and
+/// what has become usable meanwhile is stranded if the routers die.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What came of asking for a request's budget.
+/// The outcome of reserving the budget of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reservation {
-    /// It is reserved, or needs no budget.
+    /// The budget is reserved, or none is needed.
     Done,
     /// This router holds too little.
     Short,
@@ -73,40 +74,40 @@
     Kept,
 }
 
-/// What a router may spend.
+/// The budgets of all teams as far as this router may spend them.
 #[derive(Debug)]
 pub(crate) struct GrantBudgets {
     pub(super) book: GrantState,
     pub(super) budgets: IndexMap<TeamId, GrantBudget>,
     pub(super) policy: HoldingPolicy,
-    /// Whether a call is on its way.
+    /// Whether a call to the log is in flight.
     in_flight: bool,
-    /// Whether the partition is known to have moved on.
+    /// Whether the partition is known to have advanced past what was read.
     behind: bool,
-    /// How many calls in a row failed.
+    /// The number of consecutive failed calls.
     pub(super) failures: u32,
     /// Since when the log has not answered.
     pub(super) unreachable_since: Option<Instant>,
-    /// What other routers say of their budgets.
+    /// What other routers report about their budgets.
     pub(super) peer_budgets: Others,
-    /// No call before this.
+    /// No call is made before this time.
     retry_at: Instant,
     /// When the grants were last known to be up to date.
     pub(super) fresh_at: Option<Instant>,
-    /// When grants were last brought to what the policy wants.
+    /// When grants were last adjusted to the policy.
     pub(super) reviewed_at: Option<Instant>,
     pub(super) stay: Stay,
     pub(super) clock: FleetClock,
-    /// Who keeps budgets for others.
+    /// Which routers keep budgets for others.
     pub(super) ownership: Ownership,
-    /// When idle budget was last given back to those that keep it.
+    /// When idle budget was last returned to the routers that keep it.
     pub(super) returned_at: Option<Instant>,
-    /// Teams of which too little is left here for the time that a loan takes.
+    /// Teams of whose budget too little is left here for the time that a loan takes.
     pub(super) low_teams: IndexSet<TeamId>,
 }
 
 impl GrantBudgets {
-    /// Makes one that may spend nothing yet.
+    /// Creates a set of budgets that may spend nothing yet.
     pub(crate) fn new(
         now: Instant,
         vm: VmId,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Takes over who the routers are, and with that who keeps budgets for others.
+    /// Updates which routers there are, and with that which of them keep budgets for others.
     pub(crate) fn take_routers(&mut self, me: &VmId, routers: Vec<Candidate>, peers: &[Peer]) {
         if !self.ownership.knows_routers() {
             self.reviewed_at = None;
@@ -143,16 +144,16 @@
         self.ownership.take_routers(me, routers, peers);
     }
 
-    /// Takes note of another router's sign of life.
+    /// Handles another router's heartbeat.
     pub(crate) fn handle_heartbeat(&mut self, now: Instant, beat: &Heartbeat) {
         self.ownership.heard(&beat.vm);
-        // What dead lifetimes left can be given back from here on.
+        // From now on, what dead incarnations left unspent can be returned.
         if self.clock.hear(now, &beat.vm, beat.clock) {
             self.reviewed_at = None;
         }
     }
 
-    /// Takes over what the teams prepaid. A budget never shrinks, and a team that is gone keeps what it used.
+    /// Updates what the teams prepaid. A budget never shrinks, and a team that was removed keeps what it used.
     pub(crate) fn update_prepaid(&mut self, now: Instant, table: &RouteTable) {
         for payer in table.payers() {
             let Some(prepaid) = payer.prepaid else {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Returns whether the grants were ever read.
+    /// Returns whether the grants have been read.
     pub(crate) fn is_loaded(&self) -> bool {
         self.book.end().is_some()
     }
@@ -205,7 +206,7 @@
         Reservation::Done
     }
 
-    /// Ends a reservation with what was used of it.
+    /// Ends a reservation, of which `used` was spent.
     pub(crate) fn settle(&mut self, team: &TeamId, reserved: Tokens, used: Tokens) {
         if let Some(budget) = self.budgets.get_mut(team) {
             let used = used.min(reserved);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Takes in what happened at the log.
+    /// Handles an event of the log that keeps grants.
     pub(crate) fn handle_event(&mut self, now: Instant, event: GrantEvent) {
         self.in_flight = false;
         match event {
@@ -287,12 +288,12 @@
         if let Some(pending) = self.book.pending() {
             return Some(Effect::ProposeGrants(pending.clone()));
         }
-        // What is given up to a log that does not answer could not be handed over.
+        // Budget that is given up to a log that does not answer could not be handed over to other routers.
         let leaving = self.stay == Stay::Leaving;
         if leaving && self.failures > 0 {
             return None;
         }
-        // Whether the log answers is found out before anything is given up to it.
+        // Check that the log answers before giving anything up to it.
         let stale = self.fresh_at.is_none_or(|at| now >= at + MAX_STALENESS);
         if leaving && stale {
             return Some(Effect::ReadGrants(Some(end)));
@@ -306,8 +307,8 @@
             return None;
         }
         let changes = self.changes(now, due);
-        // Only a review puts the next one off. Put off by each call for a request that waits, none would come while one team's
-        // callers wait, and the other teams' promises would grow old.
+        // Only a review postpones the next one. If each call for a waiting request did so, there would be no review
+        // while the callers of one team wait, and the spending paces of the other teams would grow old.
         if due {
             self.reviewed_at = Some(now);
         }
@@ -321,18 +322,19 @@
         if let Some(proposal) = self.book.propose(changes, &start, prepaid) {
             return Some(Effect::ProposeGrants(proposal));
         }
-        // What others gave back since may cover those that wait.
+        // What other routers returned since may cover the waiting requests.
         (waiting && stale).then_some(Effect::ReadGrants(Some(end)))
     }
 
-    /// Reads all anew: the log let go of records that were not read.
+    /// Starts reading from the beginning: the log has deleted records that were not read.
     fn reread_all(&mut self) {
         warn!(event = "grants-gone");
         self.book.restart();
     }
 
-    /// Logs the grants that stand from now on: who reads the logs sees from them where a budget lies, and which part of a dead
-    /// lifetime's grant stays lost: what was in use, what could be used at once, and what opened for the time that passed.
+    /// Logs the grants that stand from now on. The log lines show where a budget lies, and which part of a dead
+    /// incarnation's grant stays lost: what was in use, what could be used at once, and what became usable over the
+    /// time that passed.
     fn log_grants(&self, records: &[(GrantKey, GrantRow)]) {
         for (key, row) in records {
             match self.book.is_own(key) {
@@ -364,7 +366,7 @@
         self.fresh_at = Some(now);
     }
 
-    /// Notes that the store answered another call, so that the log is worth asking at once.
+    /// Records that the store answered another call, so that it is worth calling the log at once.
     pub(crate) fn store_answered(&mut self, now: Instant) {
         self.retry_at = self.retry_at.min(now);
     }
@@ -398,7 +400,7 @@
             .saturating_sub(reserve.unwrap_or_default())
     }
 
-    /// Returns what is held and not in use, though it may not all be used at once.
+    /// Returns what is held and not in use, though not all of it may be usable at once.
     pub(super) fn held(&self, team: &TeamId) -> Tokens {
         self.remaining(team, self.book.granted(team))
     }
@@ -409,7 +411,7 @@
         budget.map_or(Tokens::ZERO, |budget| budget.remaining(granted))
     }
 
-    /// Returns the most that this router could reserve if it drew all that is undrawn.
+    /// Returns the most that this router could reserve if it drew everything that is undrawn.
     pub(super) fn max_reservable(&self, team: &TeamId) -> Tokens {
         let prepaid = self
             .budgets
@@ -419,7 +421,7 @@
             .saturating_add(self.book.undrawn(team, prepaid))
     }
 
-    /// Returns the most that can be left of a team's budget, by all that is known to be used.
+    /// Returns the most that can be left of a team's budget, given everything that is known to be used.
     pub(super) fn max_left(&self, team: &TeamId) -> Tokens {
         self.budgets.get(team).map_or(Tokens::ZERO, |budget| {
             let here = budget.spent.saturating_add(budget.reserved);
@@ -442,8 +444,9 @@
     info!(event = "given-back", %team, of = %vm, %router, left = %row.granted);
 }
 
-/// Returns what more urgent requests than those of a priority find open. In touch with the log more is opened by the next
-/// promise; in a cut it opens slowly, and the less urgent would use up each bit of it.
+/// Returns what must stay available for requests that are more urgent than a priority. In contact with the log, the
+/// next spending pace makes more available; in an outage, budget becomes available slowly, and less urgent requests
+/// would use up every bit of it.
 pub(super) fn urgent_reserve(away: bool, now: Instant, ration: &Ration, priority: u8) -> Tokens {
     match away {
         true => Tokens((ration.urgent(now, priority) * URGENT_RESERVE_TIME.as_secs_f64()) as u64),
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -1,4 +1,4 @@
-//! A router that lives by grants: its way into service and out of it, and the requests that wait for budget.
+//! A router whose budgets are kept by grants: how it starts and stops serving, and the requests that wait for budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,19 +30,19 @@
 use crate::router::waiting::Unfunded;
 use crate::tokens::Tokens;
 
-/// When a caller may come back whose budget others hold: they give back what lies idle at their next review.
+/// The retry delay for a caller whose budget is held by other routers: they return idle budget at their next review.
 const HELD_RETRY: Duration = Duration::from_millis(1000);
 
-/// When a caller may come back whose budget lies, as far as anyone in reach knows, with routers that died: what they can't have
-/// used is given back when they start again, within some seconds, or not at all.
+/// The retry delay for a caller whose budget, as far as any reachable router knows, is held by routers that died: what
+/// they cannot have used is returned when they start again, within some seconds, or never.
 const LOST_RETRY: Duration = Duration::from_secs(10);
 
-/// How far the times at which callers may come back after a cut are spread: they were refused over seconds, and together they
-/// would meet the endpoints in one moment.
+/// How far retry delays are spread after an outage of the log: the callers were refused over several seconds, and
+/// without the spread they would reach the endpoints all at once.
 const RETRY_SPREAD: f64 = 0.25;
 
 impl Core {
-    /// Takes over a configuration. An older one than that in force changes nothing.
+    /// Applies a configuration, if it is newer than the one in force.
     pub(crate) fn apply_table(&mut self, now: Instant, table: Arc<RouteTable>) {
         let old = self.table.as_ref().map(|table| table.version);
         if old.is_some_and(|old| old >= table.version) {
@@ -62,13 +62,13 @@
         self.serve_with_grants();
     }
 
-    /// Takes in what happened at the log that keeps grants.
+    /// Handles an event of the log that keeps grants.
     pub(crate) fn handle_grant_event(&mut self, now: Instant, event: GrantEvent) {
         self.funds.handle_event(now, event);
         self.serve_with_grants();
     }
 
-    /// Begins to serve once the configuration, the endpoints and the grants are known.
+    /// Starts serving once the configuration, the endpoints and the grants are known.
     pub(crate) fn serve_with_grants(&mut self) {
         let ready = self.table.is_some()
             && self.funds.is_loaded()
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Reserves what a request can cost, or has it wait for a grant.
+    /// Reserves what a request may cost, or queues it until a grant covers it.
     pub(crate) fn fund_relay(&mut self, now: Instant, id: RequestId) {
         let request = &mut self.requests[&id];
         let team = request.team.clone();
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Sends on the requests that have their budget now, refuses those that can't have it, and asks the log for more.
+    /// Forwards the requests whose budget is reserved now, refuses those that cannot have it, and asks the log and
+    /// other routers for more.
     pub(crate) fn step_budgets(&mut self, now: Instant) {
         for (who, amount) in self.funds.funded(now) {
             match who {
@@ -142,7 +143,7 @@
         self.effects.extend(gifts);
     }
 
-    /// Takes in what a router that stops hands over.
+    /// Accepts budget that a stopping router hands over.
     pub(crate) fn accept_gift(&mut self, id: AdminId, gift: &Gift) {
         let status = if self.serving() { 200 } else { 503 };
         if self.serving() {
@@ -151,14 +152,14 @@
         self.effects.push(Effect::Answer(id, status, json!(null)));
     }
 
-    /// Answers another router's question for a loan.
+    /// Handles another router's request for a loan.
     pub(crate) fn handle_loan_ask(&mut self, now: Instant, id: AdminId, ask: &LoanAsk) {
         if let Some(amount) = self.funds.lend(now, id, ask) {
             self.answer_loans(vec![id], amount);
         }
     }
 
-    /// Gives one answer to all questions under one number: nobody knows which of them its sender still waits for.
+    /// Gives one answer to all loan requests under one number: it is unknown which of them the sender still waits for.
     fn answer_loans(&mut self, ids: Vec<AdminId>, amount: Tokens) {
         let answers = ids.into_iter();
         let answers = answers.map(|id| Effect::Answer(id, 200, json!(amount)));
@@ -182,29 +183,31 @@
         let retry = retry.mul_f64(1.0 + self.rng.random_range(0.0..RETRY_SPREAD));
         let problem = match why {
             Unfunded::Spent => {
-                let detail = format!("the team {team} has not {amount} tokens left for it");
+                let detail =
+                    format!("team {team} does not have {amount} tokens left for this request");
                 Problem::new(ProblemKind::BudgetSpent, Ran::No, &detail)
             }
             Unfunded::Held => {
-                let detail = format!("other routers hold what is left of the budget of {team}");
+                let detail =
+                    format!("other routers hold what is left of the budget of team {team}");
                 Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
             }
             Unfunded::Kept => {
                 let detail = format!(
-                    "what is left of the budget of {team} is kept for more urgent requests"
+                    "what is left of the budget of team {team} is kept for more urgent requests"
                 );
                 Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
             }
             Unfunded::Away => {
                 let detail =
-                    "the log can't be reached, and this router holds too little of the budget";
+                    "the log is unreachable, and this router holds too little of the budget";
                 Problem::new(ProblemKind::LogOutage, Ran::No, detail).retry_in(retry)
             }
         };
         self.refuse_with(now, id, problem);
     }
 
-    /// Returns the addresses that a caller in a failure domain may use: those of routers that live and stay.
+    /// Returns the addresses that a caller in a failure domain may use: those of live routers that are not stopping.
     pub(crate) fn directory(&mut self, now: Instant, domain: &DomainId) -> Vec<String> {
         let mut peers = self.members.advisable(now);
         peers.retain(|peer| !peer.leaving && self.members.silence(now, &peer.vm).is_none());
@@ -227,8 +230,8 @@
         drawn.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Ends a planned stop: no caller still keeps the address, what no request in progress needs went back, and then nothing
-    /// is in progress any more.
+    /// Continues a planned stop, in this order: callers no longer keep the address, what no request in progress needs
+    /// has been returned, and no request is in progress any more.
     pub(crate) fn continue_drain(&mut self, now: Instant, linger: Duration) {
         let Phase::Draining { since, closing } = self.phase else {
             return;
