--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -191,7 +191,7 @@
     fn refuse_spent(&mut self, now: Instant, id: RequestId, unaffordable: bool) {
         let request = &self.requests[&id];
         let detail = format!(
-            "team {} does not have {} tokens left for this request",
+            "the team {} has not {} tokens left for it",
             request.team, request.reserve
         );
         let retry = if unaffordable {
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -65,7 +65,7 @@
 
 /// The outcome of reserving the budget of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reservation {
+pub(crate) enum ReserveOutcome {
     /// The budget is reserved, or none is needed.
     Done,
     /// This router holds too little.
@@ -184,26 +184,26 @@
         team: &TeamId,
         priority: u8,
         amount: Tokens,
-    ) -> Reservation {
+    ) -> ReserveOutcome {
         let available = self.available_to(now, team, priority);
         let remainder = self.remainder(now, team);
         let Some(budget) = self.budgets.get_mut(team) else {
-            return Reservation::Done;
+            return ReserveOutcome::Done;
         };
         if amount == Tokens::ZERO {
-            return Reservation::Done;
+            return ReserveOutcome::Done;
         }
         budget.record_demand(now, priority, amount);
         if !budget.ration.pays(now, &remainder, priority, amount) {
-            return Reservation::Kept;
+            return ReserveOutcome::Kept;
         }
         if available < amount {
-            return Reservation::Short;
+            return ReserveOutcome::Short;
         }
         budget.reserved += amount;
         budget.record_given(now, amount);
         self.note_low(now, team, available - amount);
-        Reservation::Done
+        ReserveOutcome::Done
     }
 
     /// Ends a reservation, of which `used` was spent.
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -22,7 +22,7 @@
 use crate::router::event::LoanAsk;
 use crate::router::grant_budget::Waiter;
 use crate::router::grant_budget::Waiting;
-use crate::router::grant_budgets::Reservation;
+use crate::router::grant_budgets::ReserveOutcome;
 use crate::router::problem::Problem;
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
@@ -86,11 +86,11 @@
         let amount = request.reserve;
         let priority = request.relay.as_ref().map_or(0, |terms| terms.priority);
         match self.funds.reserve(now, &team, priority, amount) {
-            Reservation::Done => {
+            ReserveOutcome::Done => {
                 request.stake = Stake::Funded;
                 self.enqueue(now, id);
             }
-            Reservation::Short => {
+            ReserveOutcome::Short => {
                 let waiting = Waiting {
                     who: Waiter::Request(id),
                     amount,
@@ -99,7 +99,7 @@
                 };
                 self.funds.wait(&team, waiting);
             }
-            Reservation::Kept => self.refuse_unfunded(now, id, Unfunded::Kept),
+            ReserveOutcome::Kept => self.refuse_unfunded(now, id, Unfunded::Kept),
         }
     }
 
@@ -183,24 +183,22 @@
         let retry = retry.mul_f64(1.0 + self.rng.random_range(0.0..RETRY_SPREAD));
         let problem = match why {
             Unfunded::Spent => {
-                let detail =
-                    format!("team {team} does not have {amount} tokens left for this request");
+                let detail = format!("the team {team} has not {amount} tokens left for it");
                 Problem::new(ProblemKind::BudgetSpent, Ran::No, &detail)
             }
             Unfunded::Held => {
-                let detail =
-                    format!("other routers hold what is left of the budget of team {team}");
+                let detail = format!("other routers hold what is left of the budget of {team}");
                 Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
             }
             Unfunded::Kept => {
                 let detail = format!(
-                    "what is left of the budget of team {team} is kept for more urgent requests"
+                    "what is left of the budget of {team} is kept for more urgent requests"
                 );
                 Problem::new(ProblemKind::BudgetHeld, Ran::No, &detail).retry_in(retry)
             }
             Unfunded::Away => {
                 let detail =
-                    "the log is unreachable, and this router holds too little of the budget";
+                    "the log can't be reached, and this router holds too little of the budget";
                 Problem::new(ProblemKind::LogOutage, Ran::No, detail).retry_in(retry)
             }
         };
