--- a/src/router/budget_status.rs
+++ b/src/router/budget_status.rs
@@ -8,10 +8,10 @@
 
 use crate::ids::RequestId;
 use crate::ids::TeamId;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::waiting::Unfunded;
 
-impl Funds {
+impl GrantBudgets {
     /// Logs that a request was refused for lack of budget, and the state of the budget that led to it.
     pub(crate) fn log_refusal(
         &self,
@@ -21,14 +21,14 @@
         why: Unfunded,
     ) {
         info!(event = "unfunded", %request, ?why, failures = self.failures);
-        let Some(allowance) = self.allowances.get(team) else {
+        let Some(allowance) = self.budgets.get(team) else {
             return;
         };
         let rest = self.remainder(now, team);
         info!(
             event = "budget", %request, %team, prepaid = %allowance.prepaid, granted = %self.book.granted(team),
-            reserved = %allowance.reserved, spent = %allowance.spent, elsewhere = %self.book.others(team),
-            spent_elsewhere = %self.book.others_spent(team),
+            reserved = %allowance.reserved, spent = %allowance.spent,
+            elsewhere = %self.book.granted_to_others(team), spent_elsewhere = %self.book.spent_by_others(team),
             undrawn = %self.book.undrawn(team, allowance.prepaid), in_reach = %rest.left,
             demand = rest.demand as u64, lasts_ms = rest.lasts.as_millis() as u64,
             age_ms = self.log_answer_age(now),
@@ -37,7 +37,7 @@
 
     /// Returns the budgets for the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Value {
-        let allowances = self.allowances.iter().map(|(team, allowance)| {
+        let budgets = self.budgets.iter().map(|(team, allowance)| {
             json!({
                 "team": team,
                 "prepaid": allowance.prepaid,
@@ -46,14 +46,14 @@
                 "spent_here": allowance.spent,
                 "lent": allowance.loans.lent(),
                 "borrowed": allowance.loans.borrowed(),
-                "granted_elsewhere": self.book.others(team),
-                "spent_elsewhere_at_least": self.book.others_spent(team),
+                "granted_elsewhere": self.book.granted_to_others(team),
+                "spent_elsewhere_at_least": self.book.spent_by_others(team),
                 "undrawn": self.book.undrawn(team, allowance.prepaid),
                 "waiting": allowance.waiting.len(),
             })
         });
         json!({
-            "teams": allowances.collect::<Vec<_>>(),
+            "teams": budgets.collect::<Vec<_>>(),
             "log_word_age_ms": self.log_answer_age(now),
             "log_failures": self.failures,
             "pending": self.book.pending().is_some(),
@@ -62,7 +62,7 @@
 
     /// Returns the time since the log's last answer, in milliseconds.
     fn log_answer_age(&self, now: Instant) -> Option<u64> {
-        let age = now.saturating_duration_since(self.fresh?);
+        let age = now.saturating_duration_since(self.fresh_at?);
         Some(u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
     }
 }
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -38,12 +38,12 @@
 use crate::router::effect::Effect;
 use crate::router::event::AdminId;
 use crate::router::event::Event;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::GrantBudgets;
+use crate::router::ledger_budget::LedgerBudget;
 use crate::router::members::Members;
 use crate::router::orders::Orders;
 use crate::router::outage::Outage;
 use crate::router::pool::Pool;
-use crate::router::purse::Purse;
 use crate::router::request::Request;
 use crate::router::table_watch::TableWatch;
 use crate::settings::EndMarker;
@@ -163,7 +163,7 @@
     pub(crate) active: IndexMap<RequestKey, RequestId>,
     /// Requests that wait for another attempt's end.
     pub(crate) contended: Vec<RequestId>,
-    pub(crate) purses: IndexMap<TeamId, Purse>,
+    pub(crate) purses: IndexMap<TeamId, LedgerBudget>,
     pub(crate) policy: HoldingPolicy,
     /// What was asked for here.
     pub(crate) demand: IndexMap<TeamId, Demand>,
@@ -202,7 +202,7 @@
     pub(crate) drained: DrainedDomains,
     pub(crate) cold: ColdEndpoints,
     /// What may be spent, where budgets are kept by grants.
-    pub(crate) funds: Funds,
+    pub(crate) funds: GrantBudgets,
 }
 
 /// What part of the retries that all routers may make together they take: routers that start or end are counted late.
@@ -283,7 +283,7 @@
             table_watch: TableWatch::default(),
             drained: DrainedDomains::default(),
             cold: ColdEndpoints::default(),
-            funds: Funds::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
+            funds: GrantBudgets::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
             tuning,
             rng,
         }
@@ -323,16 +323,16 @@
             Event::Load(vm, load) => self.endpoint_load(now, &vm, &load),
             Event::Cache(vm, events) => self.endpoint_cache(&vm, &events),
             Event::Admin(id, request) => self.admin(now, id, request),
-            Event::Table(table) => self.take_table(now, table),
+            Event::Table(table) => self.apply_table(now, table),
             Event::DrainedDomains(drained) => self.take_drained(now, &drained),
             Event::Cold(words) => self.endpoints_cold(now, &words),
             Event::TableUnsent(vm) => self.table_unsent(now, &vm),
             Event::TableConfirmed(at) => self.table_confirmed(now, at),
-            Event::Grants(event) => self.grants(now, event),
+            Event::Grants(event) => self.handle_grant_event(now, event),
             Event::Reads(reading) => self.reads(now, &reading),
-            Event::Given(id, gift) => self.given(id, &gift),
+            Event::Given(id, gift) => self.accept_gift(id, &gift),
             Event::Taken(gift, taken) => self.funds.finish_transfer(&gift, taken),
-            Event::LoanAsked(id, ask) => self.loan_asked(now, id, &ask),
+            Event::LoanAsked(id, ask) => self.handle_loan_ask(now, id, &ask),
             Event::Lent(ask, amount) => self.funds.record_loan_answer(now, &ask, amount),
             Event::Tuned(tuning) => self.tune(*tuning),
             Event::Drain => self.drain(now),
@@ -405,7 +405,7 @@
     /// Sends off what has gathered.
     fn flush(&mut self, now: Instant) {
         if let Accounting::Grants(_) = self.tuning.accounting {
-            self.step_funds(now);
+            self.step_budgets(now);
             return;
         }
         if self.phase == Phase::CatchingUp {
@@ -434,7 +434,7 @@
         self.beat(now);
         self.fetch_table(now);
         self.tick_pools(now);
-        self.go_on_leaving(now, tuning.linger);
+        self.continue_drain(now, tuning.linger);
     }
 
     /// Does what time asks for where budgets are kept by the ledger.
@@ -442,7 +442,7 @@
         self.catch_up(now);
         self.expire_requests(now);
         self.recheck_contended(now);
-        self.keep_house(now);
+        self.rebalance_holdings(now);
         self.beat(now);
         self.close_dead(now);
         self.replicate(now);
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -1,4 +1,4 @@
-//! Reserving a request's cost, and drawing and returning budget for that.
+//! Reserving the cost of requests from budgets that the ledger keeps, and drawing and returning budget for it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,30 +23,31 @@
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
-/// How long a request waits for other routers to give back what they hold idle, once nothing is left to draw: three
-/// commits (the draw that came back short, their returns, the next draw) of 25 ms and the log's own time, doubled.
-const SHORT_WAIT: Duration = Duration::from_millis(400);
+/// How long a request waits for other routers to return idle budget when nothing is left to draw: three commits (the
+/// draw that fell short, their returns, the next draw) of 25 ms and the latency of the log, doubled.
+const SHORTAGE_WAIT: Duration = Duration::from_millis(400);
 
-/// When a caller whose team's budget is spent may come back: top-ups are made by people.
+/// The retry delay for a caller whose team's budget is spent: top-ups are made by people.
 const SPENT_RETRY: Duration = Duration::from_secs(30);
 
-/// When it may come back while other routers still hold some: they give it back as their requests end.
+/// The retry delay while other routers still hold some of the budget: they return it as their requests end.
 const HELD_RETRY: Duration = Duration::from_secs(2);
 
-/// How often holdings are brought to what the policy wants: demand is averaged over half a minute.
-const KEEP_HOUSE: Duration = Duration::from_secs(1);
+/// How often holdings are adjusted to the policy: demand is averaged over half a minute.
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The time over which a team's demand at one router is averaged.
+/// The window over which a team's demand at one router is averaged.
 const OWN_WINDOW: Duration = Duration::from_secs(30);
 
-/// The time over which a team's demand in the fleet is averaged: what comes here by chance is rarer.
+/// The window over which a team's demand in the fleet is averaged; it is longer because requests that reach this router
+/// by chance are rarer.
 const FLEET_WINDOW: Duration = Duration::from_secs(300);
 
-/// A rate, in tokens a second, that is as good as none: one request an hour.
-const FORGOTTEN: f64 = 0.01;
+/// Teams with less demand than this, in tokens a second, are no longer tracked: one request an hour.
+const MIN_DEMAND_RATE: f64 = 0.01;
 
 impl Core {
-    /// Reserves what a request can cost, or has it wait for budget.
+    /// Reserves what a request may cost, or queues it until budget is available.
     pub(crate) fn fund(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -57,18 +58,18 @@
         }
         let team = request.team.clone();
         let reserve = request.reserve;
-        self.note_demand(now, &team, reserve);
-        let purse = self.purses.entry(team.clone()).or_default();
-        purse.waiting.push_back(id);
+        self.record_demand(now, &team, reserve);
+        let budget = self.purses.entry(team.clone()).or_default();
+        budget.waiting.push_back(id);
         self.fund_team(now, &team);
     }
 
-    /// Reserves for all that wait.
+    /// Reserves for all waiting requests.
     pub(crate) fn fund_all(&mut self, now: Instant) {
         let teams: Vec<_> = self
             .purses
             .iter()
-            .filter(|(_, purse)| !purse.waiting.is_empty())
+            .filter(|(_, budget)| !budget.waiting.is_empty())
             .map(|(team, _)| team.clone())
             .collect();
         for team in teams {
@@ -76,27 +77,28 @@
         }
     }
 
-    /// Reserves for those that wait for a team's budget, and draws for the rest.
+    /// Reserves for the requests that wait for a team's budget, and draws for the rest.
     fn fund_team(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
-        let Some(purse) = self.purses.get_mut(team) else {
+        let Some(budget) = self.purses.get_mut(team) else {
             return;
         };
         let mut funded = Vec::new();
-        for id in std::mem::take(&mut purse.waiting) {
+        for id in std::mem::take(&mut budget.waiting) {
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
             if !matches!(request.state, State::Funding { .. }) {
                 continue;
             }
-            // A small request may pass a large one: the large one is refused if it can't be had, not the small one.
-            if purse.available(free) >= request.reserve {
-                purse.promise(request.reserve);
+            // A small request may overtake a large one: the large one is refused if it cannot be covered, not the small
+            // one.
+            if budget.available(free) >= request.reserve {
+                budget.debit(request.reserve);
                 request.reservation = Reservation::Funded;
                 funded.push(id);
             } else {
-                purse.waiting.push_back(id);
+                budget.waiting.push_back(id);
             }
         }
         for id in funded {
@@ -105,22 +107,23 @@
         self.draw_for_waiting(now, team);
     }
 
-    /// Draws for the requests that wait, and has those wait for other routers' holdings that what is left can't cover.
+    /// Draws for the waiting requests; those that the undrawn budget cannot cover wait for the holdings of other
+    /// routers.
     ///
-    /// Were all of them drawn for at once, a draw for more than is left would not be made at all, and a request that what
-    /// is left covers would wait for its deadline behind one that it does not.
+    /// If all of them were drawn for at once, a draw for more than is left would not be made at all, and a request that
+    /// the undrawn budget covers would wait until its deadline behind one that it does not cover.
     fn draw_for_waiting(&mut self, now: Instant, team: &TeamId) {
-        let Some(purse) = self.purses.get(team) else {
+        let Some(budget) = self.purses.get(team) else {
             return;
         };
         let free = self.ledger.holding(self.me, team).free;
         let state = self.ledger.team(team);
         let undrawn = state.map_or(Tokens::ZERO, |t| t.undrawn());
-        let reach = undrawn.saturating_add(purse.available(free));
+        let reach = undrawn.saturating_add(budget.available(free));
         let mut wanted = Tokens::ZERO;
         let mut missing = Tokens::ZERO;
         let mut short = Vec::new();
-        for id in &purse.waiting {
+        for id in &budget.waiting {
             let Some(request) = self.requests.get(id) else {
                 continue;
             };
@@ -131,34 +134,34 @@
                 short.push(*id);
             }
         }
-        let idle = purse.available(free);
+        let idle = budget.available(free);
         if wanted > Tokens::ZERO {
-            self.adjust(now, team, wanted);
+            self.adjust_holding(now, team, wanted);
         } else if undrawn > Tokens::ZERO {
-            // What can't be made up here is given back, so that another router can make it up.
-            self.adjust(now, team, missing);
+            // Budget that cannot cover a request here is returned, so that it can cover one at another router.
+            self.adjust_holding(now, team, missing);
         }
         if short.is_empty() {
             return;
         }
         if undrawn == Tokens::ZERO || idle == Tokens::ZERO {
-            self.ask_others(team, wanted.saturating_add(missing));
+            self.signal_shortage(team, wanted.saturating_add(missing));
         }
-        self.note_short(now, team, &short);
+        self.handle_short(now, team, &short);
     }
 
-    /// Draws though nothing is left: the others see the draw come back short, and give back what lies idle there.
-    fn ask_others(&mut self, team: &TeamId, wanted: Tokens) {
+    /// Draws although nothing is left: the other routers see the draw fall short, and return their idle budget.
+    fn signal_shortage(&mut self, team: &TeamId, wanted: Tokens) {
         let holding = self.ledger.holding(self.me, team);
-        let mine = holding.free + holding.claimed;
+        let own = holding.free + holding.claimed;
         let held = self.ledger.team(team).map_or(Tokens::ZERO, |t| t.held());
-        let Some(purse) = self.purses.get_mut(team) else {
+        let Some(budget) = self.purses.get_mut(team) else {
             return;
         };
-        if purse.drawing || held <= mine {
+        if budget.drawing || held <= own {
             return;
         }
-        purse.drawing = true;
+        budget.drawing = true;
         let record = Record::Draw {
             team: team.clone(),
             want: wanted,
@@ -166,51 +169,56 @@
         self.appender.push(record, Ticket::Draw(team.clone()));
     }
 
-    /// Marks since when requests have nothing left to draw, and refuses those that no one can serve.
-    fn note_short(&mut self, now: Instant, team: &TeamId, short: &[RequestId]) {
+    /// Records since when requests have had nothing left to draw, and refuses those that waited too long or that no
+    /// router can cover.
+    fn handle_short(&mut self, now: Instant, team: &TeamId, short: &[RequestId]) {
         let unspent = self.ledger.team(team).map_or(Tokens::ZERO, |t| t.unspent());
         for id in short.iter().copied() {
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
-            let hopeless = request.reserve > unspent;
+            let unaffordable = request.reserve > unspent;
             let State::Funding { short_since } = &mut request.state else {
                 continue;
             };
             let since = *short_since.get_or_insert(now);
-            if hopeless || now >= since + SHORT_WAIT {
-                self.refuse_spent(now, id, hopeless);
+            if unaffordable || now >= since + SHORTAGE_WAIT {
+                self.refuse_spent(now, id, unaffordable);
             }
         }
     }
 
-    fn refuse_spent(&mut self, now: Instant, id: RequestId, hopeless: bool) {
+    fn refuse_spent(&mut self, now: Instant, id: RequestId, unaffordable: bool) {
         let request = &self.requests[&id];
         let detail = format!(
             "the team {} has not {} tokens left for it",
             request.team, request.reserve
         );
-        let retry = if hopeless { SPENT_RETRY } else { HELD_RETRY };
+        let retry = if unaffordable {
+            SPENT_RETRY
+        } else {
+            HELD_RETRY
+        };
         let problem = Problem::new(ProblemKind::BudgetSpent, Ran::Unknown, &detail);
         self.refuse_with(now, id, problem.with_retry(retry));
     }
 
-    /// Draws or returns what the policy says.
-    pub(crate) fn adjust(&mut self, now: Instant, team: &TeamId, wanted: Tokens) {
+    /// Draws or returns budget as the policy decides.
+    pub(crate) fn adjust_holding(&mut self, now: Instant, team: &TeamId, wanted: Tokens) {
         let holding = self.ledger.holding(self.me, team);
         let Some(state) = self.ledger.team(team) else {
             return;
         };
         let undrawn = state.undrawn();
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
-        let demand = self.demand_of(now, team);
+        let demand = self.demand_rate(now, team);
         let reachable = !self.in_outage(now);
-        let purse = self.purses.entry(team.clone()).or_default();
-        if purse.drawing {
+        let budget = self.purses.entry(team.clone()).or_default();
+        if budget.drawing {
             return;
         }
         let share = Share {
-            free: purse.available(holding.free),
+            free: budget.available(holding.free),
             claimed: holding.claimed,
             undrawn,
             routers,
@@ -222,22 +230,22 @@
         match self.policy.decide(&share) {
             Action::None => {}
             Action::Draw(want) => {
-                purse.drawing = true;
+                budget.drawing = true;
                 let record = Record::Draw {
                     team: team.clone(),
                     want,
                 };
                 self.appender.push(record, Ticket::Draw(team.clone()));
             }
-            Action::Return(amount) => self.give_back(team, amount),
+            Action::Return(amount) => self.return_budget(team, amount),
         }
     }
 
-    fn give_back(&mut self, team: &TeamId, amount: Tokens) {
+    fn return_budget(&mut self, team: &TeamId, amount: Tokens) {
         if amount == Tokens::ZERO {
             return;
         }
-        self.purses.entry(team.clone()).or_default().promise(amount);
+        self.purses.entry(team.clone()).or_default().debit(amount);
         let record = Record::Return {
             team: team.clone(),
             amount,
@@ -246,19 +254,19 @@
             .push(record, Ticket::Return(team.clone(), amount));
     }
 
-    pub(crate) fn draw_verdict(&mut self, now: Instant, team: &TeamId, verdict: &Verdict) {
-        let purse = self.purses.entry(team.clone()).or_default();
-        purse.drawing = false;
+    pub(crate) fn handle_draw_verdict(&mut self, now: Instant, team: &TeamId, verdict: &Verdict) {
+        let budget = self.purses.entry(team.clone()).or_default();
+        budget.drawing = false;
         if let Verdict::Granted(amount) = verdict {
             info!(event = "drawn", %team, %amount);
         }
         self.fund_team(now, team);
     }
 
-    /// Gives back what lies idle here when another router's draw came back short.
+    /// Returns idle budget when another router's draw fell short.
     ///
-    /// Near the end of a budget its last tokens lie scattered over the routers, each too few for a request. Without
-    /// this a router would refuse a team whose tokens its neighbours hold.
+    /// Near the end of a budget its last tokens are scattered over the routers, in parts too small for a request.
+    /// Without this, a router would refuse a team whose tokens other routers hold.
     pub(crate) fn answer_shortage(&mut self, now: Instant, batch: &Batch, verdicts: &[Verdict]) {
         if batch.router == self.me || !self.serving() {
             return;
@@ -274,33 +282,33 @@
 
     fn release_idle(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
-        let demand = self.demand_of(now, team);
-        let Some(purse) = self.purses.get(team) else {
+        let demand = self.demand_rate(now, team);
+        let Some(budget) = self.purses.get(team) else {
             if free > Tokens::ZERO {
-                self.give_back(team, free);
+                self.return_budget(team, free);
             }
             return;
         };
-        let idle = purse.available(free);
-        // What the next second is likely to need stays, lest the tokens go round in circles. But where a request waits, what
-        // lies here is too little for it: were it kept, each router would hold a part of what one request needs, and all
-        // would refuse.
-        let keep = match purse.waiting.is_empty() {
+        let idle = budget.available(free);
+        // What the next second is likely to need stays, so that tokens do not circulate between routers. If a request
+        // waits here, nothing stays: what is held is too little for it, and if each router kept its part of what one
+        // request needs, all would refuse.
+        let keep = match budget.waiting.is_empty() {
             true => Tokens(demand as u64).min(Tokens(idle.0 / 2)),
             false => Tokens::ZERO,
         };
-        self.give_back(team, idle - keep);
+        self.return_budget(team, idle - keep);
     }
 
-    fn note_demand(&mut self, now: Instant, team: &TeamId, amount: Tokens) {
+    fn record_demand(&mut self, now: Instant, team: &TeamId, amount: Tokens) {
         self.demand
             .entry(team.clone())
             .or_insert_with(|| Demand::new(now, OWN_WINDOW))
             .add(now, amount);
     }
 
-    /// Counts what all routers claim.
-    pub(crate) fn note_claims(&mut self, now: Instant, batch: &Batch) {
+    /// Counts the claims of all routers as demand of the fleet.
+    pub(crate) fn record_claims(&mut self, now: Instant, batch: &Batch) {
         for record in &batch.records {
             if let Record::Claim(claim) = record {
                 self.fleet
@@ -311,36 +319,41 @@
         }
     }
 
-    /// Returns how fast a team is likely to be asked for here, in tokens a second.
+    /// Returns the demand for a team's budget that is expected here, in tokens a second.
     ///
-    /// What was asked here of late, or this router's part of what the fleet was asked if that is more: callers change
-    /// routers as they are advised, and one that was never asked for a team would hold nothing of it when the log goes
-    /// down.
-    fn demand_of(&self, now: Instant, team: &TeamId) -> f64 {
+    /// This is the recent demand here, or this router's share of the fleet's demand if that is more: callers change
+    /// routers as they are advised, and a router that was never asked for a team would hold nothing of its budget when
+    /// the log goes down.
+    fn demand_rate(&self, now: Instant, team: &TeamId) -> f64 {
         let rate = |demand: Option<&Demand>| demand.map_or(0.0, |demand| demand.rate(now));
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
-        let part = rate(self.fleet.get(team)) / routers.max(1) as f64;
-        rate(self.demand.get(team)).max(part)
+        let share = rate(self.fleet.get(team)) / routers.max(1) as f64;
+        rate(self.demand.get(team)).max(share)
     }
 
-    /// Brings holdings to what the policy wants, and refuses those that waited for budget in vain.
-    pub(crate) fn keep_house(&mut self, now: Instant) {
+    /// Adjusts holdings to the policy, and refuses requests that waited too long for budget.
+    pub(crate) fn rebalance_holdings(&mut self, now: Instant) {
         self.fund_all(now);
-        let due = self.kept_house.is_none_or(|at| now >= at + KEEP_HOUSE);
+        let due = self
+            .kept_house
+            .is_none_or(|at| now >= at + REBALANCE_INTERVAL);
         if !self.serving() || !due {
             return;
         }
         self.kept_house = Some(now);
-        self.demand.retain(|_, demand| demand.rate(now) > FORGOTTEN);
-        self.fleet.retain(|_, demand| demand.rate(now) > FORGOTTEN);
+        self.demand
+            .retain(|_, demand| demand.rate(now) > MIN_DEMAND_RATE);
+        self.fleet
+            .retain(|_, demand| demand.rate(now) > MIN_DEMAND_RATE);
         let asked = self.fleet.keys().cloned();
         let teams: IndexSet<_> = self.purses.keys().cloned().chain(asked).collect();
         for team in teams {
-            self.adjust(now, &team, Tokens::ZERO);
+            self.adjust_holding(now, &team, Tokens::ZERO);
         }
         let me = self.me;
         let ledger = &self.ledger;
-        self.purses
-            .retain(|team, purse| !purse.idle() || ledger.holding(me, team).free > Tokens::ZERO);
+        self.purses.retain(|team, budget| {
+            !budget.is_settled() || ledger.holding(me, team).free > Tokens::ZERO
+        });
     }
 }
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::decide;
 use crate::decide::Action;
 use crate::decide::OWNERS;
 use crate::decide::Opening;
 use crate::decide::Share;
 use crate::decide::TEAM_OWNERS;
-use crate::escrow::Change;
+use crate::decide;
+use crate::escrow::GrantChange;
 use crate::escrow::GrantRow;
-use crate::escrow::Pace;
+use crate::escrow::SpendPace;
 use crate::ids::TeamId;
-use crate::router::allowance::Allowance;
-use crate::router::funds::COVER;
-use crate::router::funds::Funds;
+use crate::router::grant_budget::GrantBudget;
+use crate::router::grant_budgets::DEMAND_COVER;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::tokens::Tokens;
 
 /// A review renews a pace if the required rate has changed by more than this fraction.
@@ -49,25 +49,25 @@
     Releasing,
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Starts returning budget that the remaining callers will not need.
     pub(crate) fn wind_down(&mut self) {
         self.stay = StopPhase::WindingDown;
-        self.reviewed = None;
+        self.reviewed_at = None;
     }
 
     /// Starts returning budget that no request in progress needs.
     pub(crate) fn release_idle(&mut self) {
         self.stay = StopPhase::Releasing;
-        self.reviewed = None;
+        self.reviewed_at = None;
     }
 
     /// Returns whether all budget that is not in use has been returned or transferred.
     pub(crate) fn has_released_all(&self) -> bool {
-        let teams = self.allowances.keys();
+        let teams = self.budgets.keys();
         let mut idle = teams.map(|team| self.held(team).min(self.book.granted(team)));
         let transferring = self
-            .allowances
+            .budgets
             .values()
             .any(|a| a.loans.has_unconfirmed_transfers());
         let settled = self.book.pending().is_none() || self.failures > 0;
@@ -80,7 +80,7 @@
         let interval = FLEET_REVIEW_INTERVAL
             .saturating_mul(writers)
             .max(REVIEW_INTERVAL);
-        self.reviewed.is_none_or(|at| now >= at + interval)
+        self.reviewed_at.is_none_or(|at| now >= at + interval)
     }
 
     /// Returns whether writes to the log are limited, so that unused budget is returned in as few of them as possible.
@@ -91,12 +91,12 @@
 
     /// Returns whether requests at other routers may wait for a team's budget that is idle here.
     fn is_needed_elsewhere(&self, team: &TeamId) -> bool {
-        !self.limits_log_writes() && self.others.demand(team) > 0.0
+        !self.limits_log_writes() && self.peer_budgets.demand(team) > 0.0
     }
 
     fn writer_count(&self) -> usize {
         match self.ownership.is_owned_by_all() {
-            true => self.others.peer_count() + 1,
+            true => self.peer_budgets.peer_count() + 1,
             false => OWNERS,
         }
     }
@@ -105,18 +105,18 @@
     fn sharer_count(&self, team: &TeamId) -> usize {
         match self.ownership.owns_for_all(team) {
             true => TEAM_OWNERS,
-            false => self.others.peer_count() + 1,
+            false => self.peer_budgets.peer_count() + 1,
         }
     }
 
     /// Returns the grants to be changed or whose pace is to be renewed: at a review all that differ from the policy,
     /// otherwise those that keep a request waiting.
-    pub(super) fn grant_changes(&self, now: Instant, due: bool) -> Vec<Change> {
+    pub(super) fn grant_changes(&self, now: Instant, due: bool) -> Vec<GrantChange> {
         if !self.ownership.knows_routers() {
             return Vec::new();
         }
         let made = self.clock.at(now);
-        let changes = self.allowances.iter().filter_map(|(team, allowance)| {
+        let changes = self.budgets.iter().filter_map(|(team, allowance)| {
             let old = self.book.granted(team);
             let granted = self.target_grant(now, team, allowance);
             // Returning unused budget along with every call made for another team's request would take up most of the
@@ -126,7 +126,7 @@
                 return None;
             }
             let opening = self.opening(now, team, allowance, granted);
-            let pace = Pace {
+            let pace = SpendPace {
                 made: made.own,
                 used: allowance.in_use(),
                 room: allowance.wanted().saturating_add(opening.room),
@@ -144,7 +144,7 @@
             };
             let covered = allowance.wanted() <= self.held(team);
             let change = granted != old || renewed && (due || covered);
-            change.then(|| Change {
+            change.then(|| GrantChange {
                 team: team.clone(),
                 row,
             })
@@ -154,15 +154,15 @@
 
     /// Returns how much of a grant is reported to other routers as spent. What an owner lends is spent by routers that
     /// write no grants themselves. If every router owns every budget, each borrower reports its own spending.
-    fn reported_spent(&self, allowance: &Allowance) -> Tokens {
+    fn reported_spent(&self, allowance: &GrantBudget) -> Tokens {
         match self.ownership.is_owned_by_all() {
             true => allowance.spent,
-            false => allowance.gone(),
+            false => allowance.net_spent(),
         }
     }
 
     /// Returns what a grant should be according to the policy.
-    fn target_grant(&self, now: Instant, team: &TeamId, allowance: &Allowance) -> Tokens {
+    fn target_grant(&self, now: Instant, team: &TeamId, allowance: &GrantBudget) -> Tokens {
         let granted = self.book.granted(team);
         let free = self.held(team);
         if self.is_owned_elsewhere(now, team) {
@@ -178,16 +178,16 @@
             undrawn: self.book.undrawn(team, allowance.prepaid),
             routers: self.sharer_count(team),
             demand: allowance.rate(now),
-            team: allowance.rate(now) + self.others.demand(team),
+            team: allowance.rate(now) + self.peer_budgets.demand(team),
             wanted: allowance.wanted(),
             reachable: true,
         };
         match self.policy.decide(&share) {
-            Action::Draw(amount) if !allowance.is_trifle(amount) => granted + amount,
+            Action::Draw(amount) if !allowance.is_negligible(amount) => granted + amount,
             Action::Return(_) if allowance.waiting.is_empty() && self.limits_log_writes() => {
                 granted - self.amount_to_return(allowance, share).min(granted)
             }
-            Action::Return(amount) if !allowance.is_trifle(amount) => {
+            Action::Return(amount) if !allowance.is_negligible(amount) => {
                 granted - amount.min(free).min(granted)
             }
             Action::Draw(_) | Action::Return(_) | Action::None => granted,
@@ -196,11 +196,11 @@
 
     /// Returns the total of the policy's successive returns for a budget without waiting requests here. It combines all
     /// steps that no draw would follow into one write.
-    fn amount_to_return(&self, allowance: &Allowance, mut share: Share) -> Tokens {
+    fn amount_to_return(&self, allowance: &GrantBudget, mut share: Share) -> Tokens {
         let mut returned = Tokens::ZERO;
         while let Action::Return(amount) = self.policy.decide(&share) {
             let amount = amount.min(share.free);
-            if allowance.is_trifle(amount) {
+            if allowance.is_negligible(amount) {
                 break;
             }
             let next = Share {
@@ -218,7 +218,7 @@
     }
 
     /// Returns what a stopping router keeps beyond what is in use.
-    fn kept_on_stop(&self, now: Instant, allowance: &Allowance) -> Tokens {
+    fn kept_on_stop(&self, now: Instant, allowance: &GrantBudget) -> Tokens {
         match self.stay {
             StopPhase::WindingDown => {
                 Tokens((allowance.rate(now) * WIND_DOWN_COVER.as_secs_f64()) as u64)
@@ -232,27 +232,33 @@
         &self,
         now: Instant,
         team: &TeamId,
-        allowance: &Allowance,
+        allowance: &GrantBudget,
         granted: Tokens,
     ) -> Opening {
         let drawn = granted.saturating_sub(self.book.granted(team));
         let held = self.held(team).saturating_add(drawn);
-        let flow = allowance.flow_rate(now).min(allowance.rate(now));
-        decide::opening(flow, held, COVER)
+        let flow = allowance.outflow_rate(now).min(allowance.rate(now));
+        decide::opening(flow, held, DEMAND_COVER)
     }
 
     /// Returns whether the pace on record no longer fits.
     ///
     /// The pace of a budget without demand opens all the same. If it were never renewed, a crash of the router would
     /// strand everything opened since.
-    fn is_outdated(&self, now: Instant, team: &TeamId, allowance: &Allowance, new: &Pace) -> bool {
+    fn is_outdated(
+        &self,
+        now: Instant,
+        team: &TeamId,
+        allowance: &GrantBudget,
+        new: &SpendPace,
+    ) -> bool {
         let row = self.book.row(team);
         let Some(old) = row.pace else {
             return row.granted > Tokens::ZERO;
         };
         let rate = old.rate.0.abs_diff(new.rate.0) as f64;
         let rate_changed = rate > old.rate.0 as f64 * MIN_RATE_CHANGE;
-        let open = self.book.open(team, &self.clock.own(now));
+        let open = self.book.usable_at(team, &self.clock.own(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
         let stale = opened > new.rate.over(MAX_OPENING_TIME) && allowance.is_worth_writing(opened);
         row.granted > new.used.min(old.used) && (old.used != new.used || rate_changed || stale)
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -12,7 +12,7 @@
 use crate::router::event::Gift;
 use crate::router::event::LoanAsk;
 use crate::router::event::PurseWord;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::grant_review::StopPhase;
 use crate::router::loans::LoanNeed;
 use crate::tokens::Tokens;
@@ -27,18 +27,19 @@
 /// How much of its own demand a router keeps covered when it lends or returns budget.
 pub(super) const OWN_COVER: Duration = Duration::from_secs(1);
 
-impl Funds {
+impl GrantBudgets {
     /// Requests loans from other routers for what the log cannot provide now.
     pub(crate) fn borrow(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         let mut effects = self.borrow_ahead(now, me);
         for team in self.waiting_teams() {
-            let log_may_help = self.failures == 0 && self.reach(&team) > self.available(now, &team);
+            let log_may_help =
+                self.failures == 0 && self.max_reservable(&team) > self.available(now, &team);
             if self.is_owned_elsewhere(now, &team) {
                 effects.extend(self.borrow_from_owners(now, me, &team));
                 continue;
             }
-            let left = self.left(&team);
-            let allowance = &mut self.allowances[&team];
+            let left = self.max_left(&team);
+            let allowance = &mut self.budgets[&team];
             let needed = allowance.own_wanted();
             if needed == Tokens::ZERO {
                 continue;
@@ -57,7 +58,7 @@
                 total_demand: allowance.asked,
                 priority: allowance.most_urgent(),
             };
-            let lenders = self.others.lenders(&team);
+            let lenders = self.peer_budgets.lenders(&team);
             effects.extend(
                 allowance
                     .loans
@@ -71,8 +72,8 @@
     pub(crate) fn retry_loans(&mut self, now: Instant) -> Vec<Effect> {
         let ownership = &self.ownership;
         let is_responsive = |peer: &Peer| !ownership.is_unresponsive(now, &peer.vm);
-        let allowances = self.allowances.values_mut();
-        allowances
+        let budgets = self.budgets.values_mut();
+        budgets
             .filter_map(|allowance| allowance.loans.retry(now, is_responsive))
             .collect()
     }
@@ -87,15 +88,15 @@
         }
         // Borrowed budget cannot be returned to the log.
         let log_failing = self.failures > 0;
-        let teams = self.allowances.keys();
+        let teams = self.budgets.keys();
         let teams = teams.filter(|team| log_failing || !self.ownership.owners(team).is_empty());
         let teams: Vec<_> = teams.cloned().collect();
         let mut effects = Vec::new();
         for team in teams {
             let idle = self.available(now, &team);
             if idle > Tokens::ZERO {
-                let loans = &mut self.allowances[&team].loans;
-                let recipients = self.others.recipients(&team);
+                let loans = &mut self.budgets[&team].loans;
+                let recipients = self.peer_budgets.recipients(&team);
                 effects.extend(loans.transfer(me, &team, idle, &recipients));
             }
         }
@@ -105,7 +106,7 @@
     /// Adds what another router transferred.
     pub(crate) fn receive_transfer(&mut self, gift: &Gift) {
         info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
-        if let Some(allowance) = self.allowances.get_mut(&gift.team) {
+        if let Some(allowance) = self.budgets.get_mut(&gift.team) {
             allowance.loans.receive(gift);
         }
     }
@@ -113,7 +114,7 @@
     /// Notes that another router confirmed a transfer, or that its outcome is unknown.
     pub(crate) fn finish_transfer(&mut self, gift: &Gift, taken: bool) {
         info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
-        if let Some(allowance) = self.allowances.get_mut(&gift.team) {
+        if let Some(allowance) = self.budgets.get_mut(&gift.team) {
             allowance.loans.finish_transfer();
         }
     }
@@ -130,7 +131,7 @@
     /// Lends idle budget of a team whose budget every router keeps for itself.
     fn lend_idle(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
         let free = self.available(now, &ask.team);
-        let Some(allowance) = self.allowances.get_mut(&ask.team) else {
+        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
         let keep = Tokens((allowance.rate(now) * OWN_COVER.as_secs_f64()) as u64);
@@ -150,7 +151,7 @@
         amount: Option<Tokens>,
     ) {
         info!(event = "borrowed", number = ask.number, team = %ask.team, asked = %ask.amount, amount = ?amount.map(|a| a.0));
-        if let Some(allowance) = self.allowances.get_mut(&ask.team) {
+        if let Some(allowance) = self.budgets.get_mut(&ask.team) {
             let lender = allowance.loans.record_answer(now, ask, amount);
             if let Some(peer) = lender.filter(|_| amount.is_none()) {
                 self.ownership.mark_unresponsive(now, &peer);
@@ -160,7 +161,7 @@
 
     /// Returns what this router reports of its budgets to other routers: idle tokens and demand.
     pub(crate) fn budget_report(&self, now: Instant) -> Vec<PurseWord> {
-        let owned = self.allowances.iter();
+        let owned = self.budgets.iter();
         let owned = owned.filter(|(team, _)| self.ownership.owners(team).is_empty());
         let budgets = owned.map(|(team, allowance)| PurseWord {
             team: team.clone(),
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -2,7 +2,6 @@
 //! round it, in the module `edge`.
 
 mod admin;
-mod allowance;
 mod appender;
 mod arrive;
 mod budget_status;
@@ -17,10 +16,12 @@
 mod event;
 mod fleet_clock;
 mod fund;
-mod funds;
+mod grant_budget;
+mod grant_budgets;
 mod grant_review;
 mod grants;
 mod isolation;
+mod ledger_budget;
 mod lending;
 mod loans;
 mod members;
@@ -34,7 +35,6 @@
 mod pool;
 mod prefill;
 mod problem;
-mod purse;
 mod queue;
 mod refuse;
 mod relay;
@@ -47,11 +47,12 @@
 mod tests;
 mod waiting;
 
-pub(crate) use appender::Pace;
 pub(crate) use core::Accounting;
 pub(crate) use core::Core;
 pub(crate) use core::GrantTuning;
 pub(crate) use core::Tuning;
+
+pub(crate) use appender::Pace;
 pub(crate) use drained::DrainedDomains;
 pub(crate) use effect::Effect;
 pub(crate) use effect::Order;
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -7,13 +7,13 @@
 use crate::decide::TEAM_OWNERS;
 use crate::ids::Incarnation;
 use crate::ids::TeamId;
-use crate::router::allowance::Allowance;
-use crate::router::allowance::Waiter;
-use crate::router::allowance::Waiting;
 use crate::router::effect::Effect;
 use crate::router::event::AdminId;
 use crate::router::event::LoanAsk;
-use crate::router::funds::Funds;
+use crate::router::grant_budget::GrantBudget;
+use crate::router::grant_budget::Waiter;
+use crate::router::grant_budget::Waiting;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::lending::OWN_COVER;
 use crate::router::loans::LoanNeed;
 use crate::tokens::Tokens;
@@ -28,20 +28,20 @@
 /// The priority of a loan that no request waits for.
 const LEAST_URGENT: u8 = 9;
 
-impl Allowance {
+impl GrantBudget {
     /// Returns the expected demand of this router's callers while a loan is in flight, or zero if that is less than one
     /// request of average size.
     fn loan_demand(&self, now: Instant) -> Tokens {
         let time = (self.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER / 2);
         let demand = self.own_rate(now) * time.as_secs_f64();
-        match demand > self.size {
+        match demand > self.mean_reservation {
             true => Tokens(demand as u64),
             false => Tokens::ZERO,
         }
     }
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Requests from a team's owners what its waiting requests lack.
     pub(super) fn borrow_from_owners(
         &mut self,
@@ -53,8 +53,8 @@
         if missing == Tokens::ZERO {
             return None;
         }
-        let left = self.left(team);
-        let allowance = &mut self.allowances[team];
+        let left = self.max_left(team);
+        let allowance = &mut self.budgets[team];
         // With long round trips, each further request would otherwise wait just as long for a loan of its own.
         let ahead = (allowance.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
         let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
@@ -72,20 +72,20 @@
     /// Marks a team whose remaining budget here would run out before a loan arrives.
     pub(super) fn mark_low(&mut self, now: Instant, team: &TeamId, remaining: Tokens) {
         let borrows = !self.ownership.owners(team).is_empty();
-        let allowance = &self.allowances[team];
+        let allowance = &self.budgets[team];
         if borrows && remaining < allowance.loan_demand(now) && allowance.waiting.is_empty() {
-            self.low.insert(team.clone());
+            self.low_teams.insert(team.clone());
         }
     }
 
     /// Requests budget from its owners for teams marked as low, before a request has to wait for it.
     pub(super) fn borrow_ahead(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for team in std::mem::take(&mut self.low) {
-            let left = self.left(&team);
+        for team in std::mem::take(&mut self.low_teams) {
+            let left = self.max_left(&team);
             let remaining = self.available(now, &team);
             let owners = self.ownership.responsive_owners(now, &team);
-            let allowance = &mut self.allowances[&team];
+            let allowance = &mut self.budgets[&team];
             let demand = allowance.loan_demand(now);
             let target = demand.saturating_add(demand);
             let amount = target.saturating_sub(remaining).min(left);
@@ -110,14 +110,14 @@
     ///
     /// Two hundred routers that each kept the remainder of one request would hold back seconds of a team's demand.
     pub(crate) fn return_unused(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
-        if self.gave_back.is_some_and(|at| now < at + RETURN_INTERVAL) {
+        if self.returned_at.is_some_and(|at| now < at + RETURN_INTERVAL) {
             return Vec::new();
         }
-        self.gave_back = Some(now);
-        let teams: Vec<_> = self.allowances.keys().cloned().collect();
+        self.returned_at = Some(now);
+        let teams: Vec<_> = self.budgets.keys().cloned().collect();
         let mut effects = Vec::new();
         for team in teams {
-            let allowance = &self.allowances[&team];
+            let allowance = &self.budgets[&team];
             let borrowed = allowance.loans.borrowed() > allowance.loans.lent();
             if !borrowed || !allowance.waiting.is_empty() {
                 continue;
@@ -125,7 +125,7 @@
             let kept = Tokens((allowance.own_rate(now) * OWN_COVER.as_secs_f64()) as u64);
             let idle = self.available(now, &team);
             let owners = self.ownership.responsive_owners(now, &team);
-            let allowance = &mut self.allowances[&team];
+            let allowance = &mut self.budgets[&team];
             if idle > kept {
                 effects.extend(
                     allowance
@@ -140,7 +140,7 @@
     /// Returns whether other routers own a team's budget and one of them may be asked for a loan.
     pub(super) fn is_owned_elsewhere(&self, now: Instant, team: &TeamId) -> bool {
         let owners = self.ownership.responsive_owners(now, team);
-        let allowance = self.allowances.get(team);
+        let allowance = self.budgets.get(team);
         allowance.is_some_and(|allowance| allowance.loans.can_request_from_owner(now, &owners))
     }
 
@@ -151,16 +151,16 @@
         id: AdminId,
         ask: &LoanAsk,
     ) -> Option<Tokens> {
-        let open = self.open_to(now, &ask.team, ask.priority);
+        let open = self.available_to(now, &ask.team, ask.priority);
         let remainder = self.remainder(now, &ask.team);
         let log_failing = self.failures > 0;
-        let Some(allowance) = self.allowances.get_mut(&ask.team) else {
+        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Some(Tokens::ZERO);
         };
         if let Some(answer) = allowance.loans.previous_answer(ask) {
             return Some(answer);
         }
-        allowance.expect_loan(now, ask, TEAM_OWNERS as u64);
+        allowance.record_loan_demand(now, ask, TEAM_OWNERS as u64);
         if allowance.join_waiting(id, ask) {
             return None;
         }
@@ -185,15 +185,15 @@
 
     /// Lends as much of the requested amount as is open now. Another owner may have the remainder.
     pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
-        let open = self.open_to(now, &ask.team, ask.priority);
-        let Some(allowance) = self.allowances.get_mut(&ask.team) else {
+        let open = self.available_to(now, &ask.team, ask.priority);
+        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
         if let Some(answer) = allowance.loans.previous_answer(ask) {
             return answer;
         }
         let lent = allowance.loans.lend(ask, open);
-        allowance.gave(now, lent);
+        allowance.record_given(now, lent);
         lent
     }
 }
--- a/src/router/peer_budgets.rs
+++ b/src/router/peer_budgets.rs
@@ -11,8 +11,8 @@
 use crate::ids::TeamId;
 use crate::router::effect::Peer;
 use crate::router::event::PurseWord;
-use crate::router::funds::COVER;
-use crate::router::funds::Funds;
+use crate::router::grant_budgets::DEMAND_COVER;
+use crate::router::grant_budgets::GrantBudgets;
 use crate::router::loans::PeerBudget;
 use crate::tokens::Tokens;
 
@@ -141,30 +141,30 @@
     }
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Returns whether the reports of other routers are to be collected again.
     pub(crate) fn is_refresh_due(&self, now: Instant) -> bool {
-        self.others.is_due(now)
+        self.peer_budgets.is_due(now)
     }
 
     /// Makes the reports due for collection at once: a new router has joined, and it may be the only one to borrow
     /// from.
     pub(crate) fn request_refresh(&mut self) {
-        self.others.updated_at = None;
+        self.peer_budgets.updated_at = None;
     }
 
     /// Replaces the reports of other routers.
     pub(crate) fn update_peer_budgets(&mut self, now: Instant, reports: &[BudgetReport]) {
-        self.others.update(now, reports);
+        self.peer_budgets.update(now, reports);
     }
 
     /// Returns how much of a team's budget is in reach of this router, and how long it must last.
     pub(super) fn remainder(&self, now: Instant, team: &TeamId) -> Remainder {
-        let here = match self.away {
+        let here = match self.unreachable_since {
             Some(_) => self.held(team),
-            None => self.reach(team),
+            None => self.max_reservable(team),
         };
-        let left = here.saturating_add(self.others.free(team));
+        let left = here.saturating_add(self.peer_budgets.free(team));
         Remainder {
             left,
             demand: self.team_demand(now, team),
@@ -178,15 +178,17 @@
 
     /// Returns whether the reachable routers and the log together have an amount of a team's budget.
     pub(crate) fn is_in_reach(&self, team: &TeamId, amount: Tokens) -> bool {
-        let reach = self.reach(team).saturating_add(self.others.free(team));
+        let reach = self
+            .max_reservable(team)
+            .saturating_add(self.peer_budgets.free(team));
         reach >= amount
     }
 
     /// Returns the demand for a team's budget in the whole fleet, in tokens per second. The demand of owners includes
     /// that of borrowers' callers.
     fn team_demand(&self, now: Instant, team: &TeamId) -> f64 {
-        let here = self.allowances.get(team).map_or(0.0, |a| a.rate(now));
-        let others = self.others.demand(team);
+        let here = self.budgets.get(team).map_or(0.0, |a| a.rate(now));
+        let others = self.peer_budgets.demand(team);
         match self.ownership.owners(team).is_empty() {
             true => here + others,
             false => here.max(others),
@@ -195,8 +197,8 @@
 
     /// Returns how much longer an outage of the log is expected to continue, if there is one.
     pub(super) fn outage_left(&self, now: Instant) -> Option<Duration> {
-        let elapsed = now.saturating_duration_since(self.away?);
-        Some(COVER.saturating_sub(elapsed).max(MIN_OUTAGE_LEFT))
+        let elapsed = now.saturating_duration_since(self.unreachable_since?);
+        Some(DEMAND_COVER.saturating_sub(elapsed).max(MIN_OUTAGE_LEFT))
     }
 
     /// Returns whether more of a team's budget is out of reach than in reach. Crashed routers may have spent that part,
@@ -204,11 +206,8 @@
     ///
     /// A budget that is simply almost spent is not rationed: withholding its last part would serve no request at all.
     fn is_mostly_lost(&self, team: &TeamId, reach: Tokens) -> bool {
-        let prepaid = self
-            .allowances
-            .get(team)
-            .map_or(Tokens::ZERO, |a| a.prepaid);
-        let lost = self.left(team).saturating_sub(reach);
+        let prepaid = self.budgets.get(team).map_or(Tokens::ZERO, |a| a.prepaid);
+        let lost = self.max_left(team).saturating_sub(reach);
         lost > reach && lost.0 > prepaid.0 / LOSS_DIVISOR
     }
 }
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -5,12 +5,12 @@
 
 use crate::ids::RequestId;
 use crate::ids::TeamId;
-use crate::router::allowance::Allowance;
-use crate::router::allowance::Waiter;
-use crate::router::allowance::Waiting;
-use crate::router::funds::FRESH;
-use crate::router::funds::Funds;
-use crate::router::funds::kept_open;
+use crate::router::grant_budget::GrantBudget;
+use crate::router::grant_budget::Waiter;
+use crate::router::grant_budget::Waiting;
+use crate::router::grant_budgets::GrantBudgets;
+use crate::router::grant_budgets::MAX_STALENESS;
+use crate::router::grant_budgets::urgent_reserve;
 use crate::tokens::Tokens;
 
 /// How long a request waits for a grant. Covers a read and a write of a log that takes a hundred milliseconds for each.
@@ -33,10 +33,10 @@
     Away,
 }
 
-impl Funds {
+impl GrantBudgets {
     /// Has a request or a loan request wait for budget.
     pub(crate) fn push_waiting(&mut self, team: &TeamId, waiting: Waiting) {
-        if let Some(allowance) = self.allowances.get_mut(team) {
+        if let Some(allowance) = self.budgets.get_mut(team) {
             allowance.waiting.push_back(waiting);
         }
     }
@@ -48,10 +48,10 @@
         for team in self.waiting_teams() {
             let available = self.available(now, &team);
             let mut taken = Tokens::ZERO;
-            let away = self.away.is_some();
+            let away = self.unreachable_since.is_some();
             let mut given = Vec::new();
-            let allowance = &mut self.allowances[&team];
-            let Allowance {
+            let allowance = &mut self.budgets[&team];
+            let GrantBudget {
                 waiting,
                 ration,
                 loans,
@@ -59,7 +59,7 @@
                 ..
             } = allowance;
             waiting.retain(|waiting| {
-                let kept = kept_open(away, now, ration, waiting.priority);
+                let kept = urgent_reserve(away, now, ration, waiting.priority);
                 let needed = taken.saturating_add(waiting.amount).saturating_add(kept);
                 if needed > available {
                     return true;
@@ -78,7 +78,7 @@
             });
             given
                 .into_iter()
-                .for_each(|amount| allowance.gave(now, amount));
+                .for_each(|amount| allowance.record_given(now, amount));
         }
         funded
     }
@@ -86,10 +86,10 @@
     /// Returns how much budget the waiting requests of a team lack: their maximum cost, plus what must stay available
     /// for requests of higher priority, less what can be reserved now.
     pub(super) fn shortfall(&self, now: Instant, team: &TeamId) -> Tokens {
-        let away = self.away.is_some();
-        let allowance = &self.allowances[team];
+        let away = self.unreachable_since.is_some();
+        let allowance = &self.budgets[team];
         let waiting = allowance.waiting.iter();
-        let kept = waiting.map(|waiting| kept_open(away, now, &allowance.ration, waiting.priority));
+        let kept = waiting.map(|waiting| urgent_reserve(away, now, &allowance.ration, waiting.priority));
         let kept = kept.max().unwrap_or_default();
         let wanted = allowance.own_wanted().saturating_add(kept);
         wanted.saturating_sub(self.available(now, team))
@@ -99,14 +99,14 @@
     pub(crate) fn take_unfunded(&mut self, now: Instant) -> Vec<(Waiter, Unfunded)> {
         let mut unfunded = Vec::new();
         for team in self.waiting_teams() {
-            let left = self.left(&team);
-            let reach = self.reach(&team);
+            let left = self.max_left(&team);
+            let reach = self.max_reservable(&team);
             let held = self.held(&team);
-            let fresh = self.fresh;
-            let may_borrow = self.allowances[&team].loans.can_borrow(now);
+            let fresh = self.fresh_at;
+            let may_borrow = self.budgets[&team].loans.can_borrow(now);
             let away = self.failures > 0 || self.book.end().is_none();
-            self.allowances[&team].waiting.retain(|waiting| {
-                let book_fresh = fresh.is_some_and(|at| at + FRESH >= waiting.since);
+            self.budgets[&team].waiting.retain(|waiting| {
+                let book_fresh = fresh.is_some_and(|at| at + MAX_STALENESS >= waiting.since);
                 let is_loan = matches!(waiting.who, Waiter::Loan(..));
                 if is_loan && now >= waiting.since + LOAN_WAIT {
                     unfunded.push((waiting.who.clone(), Unfunded::Held));
@@ -133,7 +133,7 @@
 
     /// Removes a request from those that wait.
     pub(crate) fn remove_waiting(&mut self, team: &TeamId, request: RequestId) {
-        if let Some(allowance) = self.allowances.get_mut(team) {
+        if let Some(allowance) = self.budgets.get_mut(team) {
             let is_match = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
             allowance.waiting.retain(|waiting| !is_match(&waiting.who));
         }
@@ -141,10 +141,7 @@
 
     /// Returns the teams with requests that wait for their budget.
     pub(super) fn waiting_teams(&self) -> Vec<TeamId> {
-        let waiting = self
-            .allowances
-            .iter()
-            .filter(|(_, p)| !p.waiting.is_empty());
+        let waiting = self.budgets.iter().filter(|(_, p)| !p.waiting.is_empty());
         waiting.map(|(team, _)| team.clone()).collect()
     }
 }
