--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::decide;
 use crate::decide::Action;
 use crate::decide::OWNERS;
 use crate::decide::Opening;
 use crate::decide::Share;
 use crate::decide::TEAM_OWNERS;
-use crate::decide;
 use crate::escrow::GrantChange;
 use crate::escrow::GrantRow;
 use crate::escrow::SpendPace;
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -110,7 +110,10 @@
     ///
     /// Two hundred routers that each kept the remainder of one request would hold back seconds of a team's demand.
     pub(crate) fn return_unused(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
-        if self.returned_at.is_some_and(|at| now < at + RETURN_INTERVAL) {
+        if self
+            .returned_at
+            .is_some_and(|at| now < at + RETURN_INTERVAL)
+        {
             return Vec::new();
         }
         self.returned_at = Some(now);
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -89,7 +89,8 @@
         let away = self.unreachable_since.is_some();
         let allowance = &self.budgets[team];
         let waiting = allowance.waiting.iter();
-        let kept = waiting.map(|waiting| urgent_reserve(away, now, &allowance.ration, waiting.priority));
+        let kept =
+            waiting.map(|waiting| urgent_reserve(away, now, &allowance.ration, waiting.priority));
         let kept = kept.max().unwrap_or_default();
         let wanted = allowance.own_wanted().saturating_add(kept);
         wanted.saturating_sub(self.available(now, team))
