--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -21,7 +21,7 @@
 use jasmineridge::Peer;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Quarantine;
-use jasmineridge::Ticket;
+use jasmineridge::QueueTicket;
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
@@ -166,8 +166,8 @@
     });
 }
 
-fn ticket(n: usize, now: Instant) -> Ticket {
-    Ticket {
+fn ticket(n: usize, now: Instant) -> QueueTicket {
+    QueueTicket {
         team: name("team-", n % TEAMS),
         account: name("account-", n % 320),
         priority: (n % 10) as u8,
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -26,39 +26,39 @@
 use crate::tokens::Tokens;
 
 /// How many priorities there are, 0 (first) to 9 (last).
-const PRIORITIES: usize = 10;
+const PRIORITY_LEVELS: usize = 10;
 
 /// One account may have one in this many places. A quarter leaves room for the others however many requests one sends,
 /// and lets an account that is alone on a router still queue for a burst.
-const ACCOUNT_SHARE: usize = 4;
+const ACCOUNT_DIVISOR: usize = 4;
 
 /// Those refused together come back over so many times the time that they were told at least.
-const SPREAD: f64 = 1.5;
+const RETRY_JITTER: f64 = 1.5;
 
 /// How many times the estimated wait must fit before the deadline. The estimate swings with the drain; at 1, a third of
 /// those that waited reached their deadlines all the same and had waited for nothing, at 2 none did.
-const MARGIN: f64 = 2.0;
+const WAIT_MARGIN: f64 = 2.0;
 
 /// How many that do not fit are looked at before a pop gives up. At some microseconds for a choice, looking at all of 430
 /// teams at each arrival in an overload would take a router's whole time.
-const TRIED: u32 = 8;
+const MAX_MISSES: u32 = 8;
 
 /// How often teams and accounts that have nothing waiting and had next to nothing lately are forgotten.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The shortest wait that a refusal asks for.
-const MIN_RETRY: f64 = 1.0;
+const MIN_RETRY_S: f64 = 1.0;
 
 /// The longest wait that a refusal asks for. Cut at half of it, a burst's callers came back too soon and were refused
 /// again.
-const MAX_RETRY: f64 = 60.0;
+const MAX_RETRY_S: f64 = 60.0;
 
 /// The wait that is asked for before any drain was measured.
-const UNKNOWN_RETRY: f64 = 2.0;
+const DEFAULT_RETRY_S: f64 = 2.0;
 
 /// What is waiting and for how long it may.
 #[derive(Clone, Debug)]
-pub struct Ticket {
+pub struct QueueTicket {
     /// Who pays.
     pub team: TeamId,
     /// Who calls.
@@ -75,7 +75,7 @@
 
 /// Tells why a request may not wait.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Full {
+pub enum PushError {
     /// The queue has no place for it.
     #[error("the queue is full")]
     Length {
@@ -96,7 +96,7 @@
     },
 }
 
-impl Full {
+impl PushError {
     /// Returns when to come back.
     pub fn retry_after(&self) -> Duration {
         match self {
@@ -109,64 +109,64 @@
 
 /// Names one waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place(u64);
+pub struct WaitingId(u64);
 
 #[derive(Debug)]
 struct Waiting<T> {
     item: T,
-    ticket: Ticket,
+    ticket: QueueTicket,
 }
 
 /// A team's or an account's part: its virtual time, and what it has waiting.
 #[derive(Clone, Debug, Default)]
-struct Part {
-    pass: f64,
+struct Flow {
+    virtual_time: f64,
     count: usize,
     cost: u64,
 }
 
 #[derive(Debug, Default)]
 struct Team {
-    part: Part,
-    lines: [IndexMap<AccountId, VecDeque<Place>>; PRIORITIES],
+    flow: Flow,
+    queues: [IndexMap<AccountId, VecDeque<WaitingId>>; PRIORITY_LEVELS],
 }
 
 /// A bounded queue, fair over teams and accounts.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    length: usize,
-    waiting: IndexMap<Place, Waiting<T>>,
-    deadlines: BTreeSet<(Instant, Place)>,
+    max_len: usize,
+    waiting: IndexMap<WaitingId, Waiting<T>>,
+    deadlines: BTreeSet<(Instant, WaitingId)>,
     teams: IndexMap<TeamId, Team>,
-    accounts: IndexMap<AccountId, Part>,
+    accounts: IndexMap<AccountId, Flow>,
     /// Given up on to make room.
     displaced: Vec<T>,
     recent: Recent,
     /// The virtual time: that of the last one served.
-    pass: f64,
-    swept: Option<Instant>,
+    virtual_time: f64,
+    last_sweep: Option<Instant>,
     drain: Drain,
-    promised: Promised,
-    next: u64,
+    deferred: DeferredWork,
+    next_id: u64,
     rng: ChaCha8Rng,
 }
 
 impl<T> FairQueue<T> {
     /// Makes an empty queue of at most `length` requests.
-    pub fn new(length: usize, rng: ChaCha8Rng) -> Self {
+    pub fn new(max_len: usize, rng: ChaCha8Rng) -> Self {
         Self {
-            length,
+            max_len,
             waiting: IndexMap::new(),
             deadlines: BTreeSet::new(),
             teams: IndexMap::new(),
             accounts: IndexMap::new(),
             displaced: Vec::new(),
             recent: Recent::default(),
-            pass: 0.0,
-            swept: None,
+            virtual_time: 0.0,
+            last_sweep: None,
             drain: Drain::default(),
-            promised: Promised::default(),
-            next: 0,
+            deferred: DeferredWork::default(),
+            next_id: 0,
             rng,
         }
     }
@@ -182,7 +182,7 @@
     }
 
     /// Returns how many teams and accounts are remembered.
-    pub fn parts(&self) -> usize {
+    pub fn flow_count(&self) -> usize {
         self.teams.len() + self.accounts.len()
     }
 
@@ -191,20 +191,25 @@
     /// # Errors
     ///
     /// Why it may not, when the queue is full, its account has filled its part, or the wait would outlast its deadline.
-    pub fn push(&mut self, now: Instant, item: T, ticket: Ticket) -> Result<Place, Full> {
-        let wait = self.wait(now, &ticket);
-        if wait.is_some_and(|wait| now + wait.mul_f64(MARGIN) >= ticket.deadline) {
+    pub fn push(
+        &mut self,
+        now: Instant,
+        item: T,
+        ticket: QueueTicket,
+    ) -> Result<WaitingId, PushError> {
+        let wait = self.estimate_wait(now, &ticket);
+        if wait.is_some_and(|wait| now + wait.mul_f64(WAIT_MARGIN) >= ticket.deadline) {
             let retry_after = self.retry_after(now, wait, ticket.cost);
-            return Err(Full::Deadline { retry_after });
+            return Err(PushError::Deadline { retry_after });
         }
-        let mine = self.accounts.get(&ticket.account).map_or(0, |a| a.count);
-        if mine >= (self.length / ACCOUNT_SHARE).max(1) {
+        let own_count = self.accounts.get(&ticket.account).map_or(0, |a| a.count);
+        if own_count >= (self.max_len / ACCOUNT_DIVISOR).max(1) {
             let retry_after = self.retry_after(now, wait, ticket.cost);
-            return Err(Full::Account { retry_after });
+            return Err(PushError::Account { retry_after });
         }
-        if self.waiting.len() >= self.length && !self.make_room(mine) {
+        if self.waiting.len() >= self.max_len && !self.make_room(own_count) {
             let retry_after = self.retry_after(now, wait, ticket.cost);
-            return Err(Full::Length { retry_after });
+            return Err(PushError::Length { retry_after });
         }
         if self.is_empty() {
             self.drain.start(now);
@@ -226,11 +231,11 @@
     where
         F: FnMut(&T, Usage) -> bool,
     {
-        let place = self.next_place(|place| {
-            let waiting = self.waiting.get(&place);
+        let id = self.find_next(|id| {
+            let waiting = self.waiting.get(&id);
             waiting.is_some_and(|w| fits(&w.item, self.usage(now, &w.ticket.account)))
         })?;
-        let waiting = self.take(place)?;
+        let waiting = self.remove(id)?;
         self.charge(now, &waiting.ticket);
         self.sweep(now);
         self.drain
@@ -239,21 +244,21 @@
     }
 
     /// Takes out those that are given up on: past their deadlines, or displaced by an account that has less waiting.
-    pub fn expired(&mut self, now: Instant) -> Vec<T> {
-        let mut given_up = std::mem::take(&mut self.displaced);
-        while let Some((deadline, place)) = self.deadlines.first().copied()
+    pub fn take_expired(&mut self, now: Instant) -> Vec<T> {
+        let mut expired = std::mem::take(&mut self.displaced);
+        while let Some((deadline, id)) = self.deadlines.first().copied()
             && deadline <= now
         {
-            given_up.extend(self.take(place).map(|w| w.item));
+            expired.extend(self.remove(id).map(|w| w.item));
         }
-        self.settle(now);
-        given_up
+        self.stop_if_empty(now);
+        expired
     }
 
     /// Takes out one whose caller no longer waits.
-    pub fn cancel(&mut self, now: Instant, place: Place) -> Option<T> {
-        let item = self.take(place)?.item;
-        self.settle(now);
+    pub fn cancel(&mut self, now: Instant, id: WaitingId) -> Option<T> {
+        let item = self.remove(id)?.item;
+        self.stop_if_empty(now);
         Some(item)
     }
 
@@ -266,14 +271,14 @@
     ///
     /// Ahead of it are the whole queue or, where that is less, what its own team has waiting, with as much of each other
     /// team served beside it.
-    pub fn wait(&self, now: Instant, ticket: &Ticket) -> Option<Duration> {
+    pub fn estimate_wait(&self, now: Instant, ticket: &QueueTicket) -> Option<Duration> {
         let rate = self.drain.rate(now)?;
-        let queued = self.teams.get(&ticket.team).map_or(0, |t| t.part.cost);
+        let queued = self.teams.get(&ticket.team).map_or(0, |t| t.flow.cost);
         let own = queued + ticket.cost.0;
-        let costs = self.teams.values().map(|t| t.part.cost);
+        let costs = self.teams.values().map(|t| t.flow.cost);
         let ahead: u64 = costs.map(|cost| cost.min(own)).sum();
         Some(Duration::from_secs_f64(
-            (ahead as f64 / rate).min(MAX_RETRY * 100.0),
+            (ahead as f64 / rate).min(MAX_RETRY_S * 100.0),
         ))
     }
 
@@ -282,70 +287,70 @@
     /// Whoever is refused comes again. Told the same time, all of them would be refused again together.
     fn retry_after(&mut self, now: Instant, wait: Option<Duration>, cost: Tokens) -> Duration {
         let rate = self.drain.rate(now);
-        self.promised.pass(now, rate.unwrap_or_default());
-        self.promised.cost += cost.0 as f64;
-        let booked = rate.map_or(0.0, |rate| self.promised.cost / rate);
-        let wait = wait.map_or(UNKNOWN_RETRY, |w| w.as_secs_f64()) + booked;
-        let wait = wait.clamp(MIN_RETRY, MAX_RETRY);
-        Duration::from_secs_f64(wait * self.rng.random_range(1.0..SPREAD))
+        self.deferred.advance(now, rate.unwrap_or_default());
+        self.deferred.cost += cost.0 as f64;
+        let deferred_wait = rate.map_or(0.0, |rate| self.deferred.cost / rate);
+        let wait = wait.map_or(DEFAULT_RETRY_S, |w| w.as_secs_f64()) + deferred_wait;
+        let wait = wait.clamp(MIN_RETRY_S, MAX_RETRY_S);
+        Duration::from_secs_f64(wait * self.rng.random_range(1.0..RETRY_JITTER))
     }
 
     /// Gives up the newest request of the account with most waiting, for the sake of an account with less.
-    fn make_room(&mut self, mine: usize) -> bool {
-        let Some((most, _)) = self
+    fn make_room(&mut self, own_count: usize) -> bool {
+        let Some((largest, _)) = self
             .accounts
             .iter()
-            .filter(|(_, part)| part.count > mine + 1)
-            .max_by_key(|(_, part)| part.count)
+            .filter(|(_, flow)| flow.count > own_count + 1)
+            .max_by_key(|(_, flow)| flow.count)
         else {
             return false;
         };
         let newest = self
             .waiting
             .iter()
-            .filter(|(_, w)| w.ticket.account == *most)
-            .map(|(place, _)| *place)
+            .filter(|(_, w)| w.ticket.account == *largest)
+            .map(|(id, _)| *id)
             .max();
-        let Some(waiting) = newest.and_then(|place| self.take(place)) else {
+        let Some(waiting) = newest.and_then(|id| self.remove(id)) else {
             return false;
         };
         self.displaced.push(waiting.item);
         true
     }
 
-    fn insert(&mut self, item: T, ticket: Ticket) -> Place {
-        let place = Place(self.next);
-        self.next += 1;
-        self.deadlines.insert((ticket.deadline, place));
+    fn insert(&mut self, item: T, ticket: QueueTicket) -> WaitingId {
+        let id = WaitingId(self.next_id);
+        self.next_id += 1;
+        self.deadlines.insert((ticket.deadline, id));
         // Whoever had nothing waiting starts at the present: idle time earns no right to all of the endpoints later.
         let account = self.accounts.entry(ticket.account.clone()).or_default();
-        account.join(self.pass, &ticket);
+        account.add(self.virtual_time, &ticket);
         let team = self.teams.entry(ticket.team.clone()).or_default();
-        team.part.join(self.pass, &ticket);
-        team.lines[line(ticket.priority)]
+        team.flow.add(self.virtual_time, &ticket);
+        team.queues[level(ticket.priority)]
             .entry(ticket.account.clone())
             .or_default()
-            .push_back(place);
-        self.waiting.insert(place, Waiting { item, ticket });
-        place
+            .push_back(id);
+        self.waiting.insert(id, Waiting { item, ticket });
+        id
     }
 
-    fn take(&mut self, place: Place) -> Option<Waiting<T>> {
-        let waiting = self.waiting.swap_remove(&place)?;
+    fn remove(&mut self, id: WaitingId) -> Option<Waiting<T>> {
+        let waiting = self.waiting.swap_remove(&id)?;
         let ticket = &waiting.ticket;
-        self.deadlines.remove(&(ticket.deadline, place));
+        self.deadlines.remove(&(ticket.deadline, id));
         if let Some(account) = self.accounts.get_mut(&ticket.account) {
-            account.part(ticket);
+            account.remove(ticket);
         }
         if let Some(team) = self.teams.get_mut(&ticket.team) {
-            team.part.part(ticket);
-            team.forget(ticket, place);
+            team.flow.remove(ticket);
+            team.remove(ticket, id);
         }
         Some(waiting)
     }
 
     /// Ends the measuring of the drain when nobody waits.
-    fn settle(&mut self, now: Instant) {
+    fn stop_if_empty(&mut self, now: Instant) {
         if self.is_empty() {
             self.drain.stop(now);
             self.sweep(now);
@@ -361,16 +366,19 @@
         if self.is_empty() {
             self.teams.clear();
             self.accounts.clear();
-            self.pass = 0.0;
+            self.virtual_time = 0.0;
         }
-        if self.swept.is_some_and(|at| now < at + SWEEP) {
+        if self
+            .last_sweep
+            .is_some_and(|last| now < last + SWEEP_INTERVAL)
+        {
             return;
         }
-        self.swept = Some(now);
-        let pass = self.pass;
-        let stays = |part: &Part| part.count > 0 || part.pass > pass;
-        self.teams.retain(|_, team| stays(&team.part));
-        self.accounts.retain(|_, part| stays(part));
+        self.last_sweep = Some(now);
+        let virtual_time = self.virtual_time;
+        let is_kept = |flow: &Flow| flow.count > 0 || flow.virtual_time > virtual_time;
+        self.teams.retain(|_, team| is_kept(&team.flow));
+        self.accounts.retain(|_, flow| is_kept(flow));
         self.recent.sweep(now);
     }
 
@@ -383,27 +391,31 @@
     ///
     /// A team's own virtual time is the least that its turn may come at; the account's, which costs a look, is looked at
     /// only for teams whose turn it might be.
-    fn next_place<F>(&self, mut fits: F) -> Option<Place>
+    fn find_next<F>(&self, mut fits: F) -> Option<WaitingId>
     where
-        F: FnMut(Place) -> bool,
+        F: FnMut(WaitingId) -> bool,
     {
         let bounds = self.teams.values().enumerate();
         let mut turns: BinaryHeap<_> = bounds
-            .map(|(at, team)| Reverse((team.part.pass.to_bits(), at, None)))
+            .map(|(index, team)| Reverse((team.flow.virtual_time.to_bits(), index, None)))
             .collect();
-        let mut left = TRIED;
-        while left > 0
-            && let Some(Reverse((_, at, place))) = turns.pop()
+        let mut misses_left = MAX_MISSES;
+        while misses_left > 0
+            && let Some(Reverse((_, index, id))) = turns.pop()
         {
-            let team = &self.teams[at];
-            match place {
-                Some(place) if fits(place) => return Some(place),
-                Some(_) => left -= 1,
+            let team = &self.teams[index];
+            match id {
+                Some(id) if fits(id) => return Some(id),
+                Some(_) => misses_left -= 1,
                 None => {
                     let front = team.front(&self.accounts);
-                    turns.extend(front.map(|(place, pass)| {
+                    turns.extend(front.map(|(id, virtual_time)| {
                         // Passes are never negative, so that their bits are in their order.
-                        Reverse((pass.max(team.part.pass).to_bits(), at, Some(place)))
+                        Reverse((
+                            virtual_time.max(team.flow.virtual_time).to_bits(),
+                            index,
+                            Some(id),
+                        ))
                     }));
                 }
             }
@@ -412,75 +424,80 @@
     }
 
     /// Moves the virtual times on by what is served.
-    fn charge(&mut self, now: Instant, ticket: &Ticket) {
+    fn charge(&mut self, now: Instant, ticket: &QueueTicket) {
         let cost = ticket.cost.0.max(1) as f64;
         self.recent.charge(now, &ticket.account, cost);
         let account = self.accounts.entry(ticket.account.clone()).or_default();
         let team = self.teams.entry(ticket.team.clone()).or_default();
-        self.pass = self
-            .pass
-            .max(account.pass.max(team.part.pass).min(self.pass + cost));
-        account.pass = account.pass.max(self.pass) + cost / f64::from(ticket.weight.max(1));
-        team.part.pass = team.part.pass.max(self.pass) + cost;
+        self.virtual_time = self.virtual_time.max(
+            account
+                .virtual_time
+                .max(team.flow.virtual_time)
+                .min(self.virtual_time + cost),
+        );
+        account.virtual_time =
+            account.virtual_time.max(self.virtual_time) + cost / f64::from(ticket.weight.max(1));
+        team.flow.virtual_time = team.flow.virtual_time.max(self.virtual_time) + cost;
     }
 }
 
 impl Team {
     /// Returns the one to serve next: of the best priority, the account furthest behind.
-    fn front(&self, accounts: &IndexMap<AccountId, Part>) -> Option<(Place, f64)> {
-        let line = self.lines.iter().find(|line| !line.is_empty())?;
-        line.iter()
-            .filter_map(|(id, places)| Some((*places.front()?, accounts.get(id)?.pass)))
+    fn front(&self, accounts: &IndexMap<AccountId, Flow>) -> Option<(WaitingId, f64)> {
+        let queue = self.queues.iter().find(|queue| !queue.is_empty())?;
+        queue
+            .iter()
+            .filter_map(|(account, ids)| Some((*ids.front()?, accounts.get(account)?.virtual_time)))
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    fn forget(&mut self, ticket: &Ticket, place: Place) {
-        let lines = &mut self.lines[line(ticket.priority)];
-        let Some(line) = lines.get_mut(&ticket.account) else {
+    fn remove(&mut self, ticket: &QueueTicket, id: WaitingId) {
+        let queues = &mut self.queues[level(ticket.priority)];
+        let Some(queue) = queues.get_mut(&ticket.account) else {
             return;
         };
-        match line.front() {
-            Some(front) if *front == place => drop(line.pop_front()),
-            _ => line.retain(|p| *p != place),
+        match queue.front() {
+            Some(front) if *front == id => drop(queue.pop_front()),
+            _ => queue.retain(|p| *p != id),
         }
-        if line.is_empty() {
-            lines.swap_remove(&ticket.account);
+        if queue.is_empty() {
+            queues.swap_remove(&ticket.account);
         }
     }
 }
 
-impl Part {
-    fn join(&mut self, pass: f64, ticket: &Ticket) {
+impl Flow {
+    fn add(&mut self, virtual_time: f64, ticket: &QueueTicket) {
         if self.count == 0 {
-            self.pass = self.pass.max(pass);
+            self.virtual_time = self.virtual_time.max(virtual_time);
         }
         self.count += 1;
         self.cost += ticket.cost.0;
     }
 
-    fn part(&mut self, ticket: &Ticket) {
+    fn remove(&mut self, ticket: &QueueTicket) {
         self.count -= 1;
         self.cost -= ticket.cost.0;
     }
 }
 
-fn line(priority: u8) -> usize {
-    usize::from(priority).min(PRIORITIES - 1)
+fn level(priority: u8) -> usize {
+    usize::from(priority).min(PRIORITY_LEVELS - 1)
 }
 
 /// The work of those that were told to come back.
 #[derive(Debug, Default)]
-struct Promised {
+struct DeferredWork {
     cost: f64,
-    at: Option<Instant>,
+    updated: Option<Instant>,
 }
 
-impl Promised {
-    fn pass(&mut self, now: Instant, rate: f64) {
+impl DeferredWork {
+    fn advance(&mut self, now: Instant, rate: f64) {
         let passed = self
-            .at
+            .updated
             .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
         self.cost = (self.cost - passed * rate).max(0.0);
-        self.at = Some(now);
+        self.updated = Some(now);
     }
 }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -17,9 +17,9 @@
 use crate::decide::Evidence;
 use crate::decide::FairQueue;
 use crate::decide::Load;
-use crate::decide::Place;
 use crate::decide::Sample;
 use crate::decide::Usage;
+use crate::decide::WaitingId;
 use crate::ids::DomainId;
 use crate::ids::ModelId;
 use crate::ids::PoolId;
@@ -51,7 +51,7 @@
 pub(crate) struct Pool {
     pub(crate) picker: Picker,
     pub(crate) queue: FairQueue<RequestId>,
-    pub(crate) places: IndexMap<RequestId, Place>,
+    pub(crate) places: IndexMap<RequestId, WaitingId>,
     pub(crate) addresses: IndexMap<VmId, SocketAddr>,
     /// When the life of each endpoint began, if it says so.
     lives: IndexMap<VmId, Option<String>>,
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use crate::decide::Ticket;
+use crate::decide::QueueTicket;
 use crate::ids::PoolId;
 use crate::ids::RequestId;
 use crate::router::core::Core;
@@ -20,7 +20,7 @@
         request.state = State::Queued;
         let account = request.key.account.clone();
         let weight = self.config.account(&account).map_or(1, |a| a.limits.weight);
-        let ticket = Ticket {
+        let ticket = QueueTicket {
             team: request.team.clone(),
             account,
             priority: request.priority,
@@ -81,7 +81,7 @@
     pub(crate) fn expire_queues(&mut self, now: Instant) {
         let mut expired = Vec::new();
         for pool in self.pools.values_mut() {
-            for id in pool.queue.expired(now) {
+            for id in pool.queue.take_expired(now) {
                 pool.places.swap_remove(&id);
                 expired.push(id);
             }
--- a/tests/decisions/queue.rs
+++ b/tests/decisions/queue.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use jasmineridge::FairQueue;
-use jasmineridge::Full;
-use jasmineridge::Ticket;
+use jasmineridge::PushError;
+use jasmineridge::QueueTicket;
 use jasmineridge::Tokens;
 
 use crate::ms;
@@ -13,8 +13,8 @@
 use crate::rng;
 use crate::start;
 
-fn ticket(team: &str, account: &str, deadline: Instant) -> Ticket {
-    Ticket {
+fn ticket(team: &str, account: &str, deadline: Instant) -> QueueTicket {
+    QueueTicket {
         team: name(team),
         account: name(account),
         priority: 5,
@@ -61,11 +61,11 @@
     assert_eq!(
         queue
             .push(now, 2, ticket("a", "x", now + ms(500)))
-            .map_err(|f| matches!(f, Full::Account { .. })),
+            .map_err(|f| matches!(f, PushError::Account { .. })),
         Err(true)
     );
     assert_eq!(queue.next_deadline(), Some(now + ms(10)));
-    assert_eq!(queue.expired(now + ms(10)), [0]);
+    assert_eq!(queue.take_expired(now + ms(10)), [0]);
     assert_eq!(queue.pop(now + ms(20)), Some(1));
     assert_eq!(queue.pop(now + ms(20)), None);
 }
@@ -81,7 +81,7 @@
         queue.push(now, n, ticket("a", &account, late)).unwrap();
     }
     queue.push(now, 8, ticket("a", "y", late)).unwrap();
-    assert_eq!(queue.expired(now).len(), 1);
+    assert_eq!(queue.take_expired(now).len(), 1);
     assert_eq!(queue.len(), 8);
 }
 
@@ -99,7 +99,7 @@
     }
     let now = now + ms(10_000);
     let refused = queue.push(now, 99, ticket("a", "x", now + ms(5000)));
-    let Err(Full::Deadline { retry_after }) = refused else {
+    let Err(PushError::Deadline { retry_after }) = refused else {
         panic!("{refused:?}");
     };
     assert!(
@@ -133,11 +133,11 @@
                 2 => left.extend(queue.pop(now)),
                 _ => left.extend(places.pop().and_then(|place| queue.cancel(now, place))),
             }
-            left.extend(queue.expired(now));
+            left.extend(queue.take_expired(now));
         }
         left.extend(std::iter::from_fn(|| queue.pop(now)));
         left.sort_unstable();
-        queue.is_empty() && queue.parts() == 0 && left == entered
+        queue.is_empty() && queue.flow_count() == 0 && left == entered
     }
     quickcheck::QuickCheck::new()
         .tests(500)
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -15,9 +15,9 @@
 use jasmineridge::FairQueue;
 use jasmineridge::Load;
 use jasmineridge::PrefixIndex;
+use jasmineridge::QueueTicket;
 use jasmineridge::RetryBudget;
 use jasmineridge::Sample;
-use jasmineridge::Ticket;
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
@@ -111,7 +111,7 @@
     /// Returns those that the router gives up on.
     pub(crate) fn given_up(&mut self, now: Instant) -> Vec<usize> {
         match self {
-            Self::Ours(ours) => ours.queue.expired(now),
+            Self::Ours(ours) => ours.queue.take_expired(now),
             Self::Plain(_) => Vec::new(),
         }
     }
@@ -234,7 +234,7 @@
             limit.try_enter(now).map_err(|r| r.retry_after())?;
             self.budget.request(now);
         }
-        let ticket = Ticket {
+        let ticket = QueueTicket {
             team: job.team.clone(),
             account: job.account.clone(),
             priority: 5,
