--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -209,9 +209,9 @@
     for (n, vm) in vms.iter().take(32).enumerate() {
         quarantine.start(jasmineridge::Fingerprint(n as u64), vm);
     }
-    quarantine.learn(now, jasmineridge::Fingerprint(3), &vms[40]);
+    quarantine.add_suspect(now, jasmineridge::Fingerprint(3), &vms[40]);
     measure("avoid, 32 endpoints running, one suspect", |n| {
-        black_box(quarantine.avoid(jasmineridge::Fingerprint(u64::from(n) + 100)));
+        black_box(quarantine.avoided_endpoints(jasmineridge::Fingerprint(u64::from(n) + 100)));
     });
 }
 
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -20,20 +20,20 @@
 
 /// How many endpoints must have died of a request for it to be refused. The first may have died of itself; that the same
 /// request ran on two by chance is as rare as an endpoint's death in the seconds of one rerun.
-const CRASHES: usize = 2;
+const CRASH_LIMIT: usize = 2;
 
 /// How long a suspect is remembered: longer than a caller goes on sending.
-const MEMORY: Duration = Duration::from_secs(3600);
+const SUSPECT_RETENTION: Duration = Duration::from_secs(3600);
 
 /// How many suspects are remembered: a hundred endpoints' deaths with a full batch each.
-const SUSPECTS: usize = 4096;
+const MAX_SUSPECTS: usize = 4096;
 
 /// So many other endpoints that died within [`TOGETHER`] and ran no request in common tell of a rack or a switch.
-const OTHERS: usize = 2;
+const UNRELATED_CRASHES: usize = 2;
 
 /// See [`OTHERS`]. A request that is sent again needs longer to crash three endpoints: a death is noticed, and the request
 /// dispatched and read anew, each time.
-const TOGETHER: Duration = Duration::from_secs(2);
+const CORRELATION_WINDOW: Duration = Duration::from_secs(2);
 
 /// How a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// Anywhere.
     None,
     /// Where nothing else runs, or at least no other suspect: see [`Quarantine::avoid`].
-    Apart,
+    Isolated,
     /// Not at all.
     Refused,
 }
@@ -58,7 +58,7 @@
 }
 
 /// How long an endpoint that fell may still be down: as long as an engine's process takes to be started again.
-const DOWN: Duration = Duration::from_secs(5);
+const RESTART_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
 struct Suspect {
@@ -67,7 +67,7 @@
 }
 
 #[derive(Debug)]
-struct Death {
+struct Crash {
     at: Instant,
     requests: Vec<Fingerprint>,
 }
@@ -77,9 +77,9 @@
 pub struct Quarantine {
     running: IndexMap<VmId, IndexMap<Fingerprint, u32>>,
     suspects: IndexMap<Fingerprint, Suspect>,
-    deaths: VecDeque<Death>,
+    crashes: VecDeque<Crash>,
     /// When each endpoint last fell, by this router or by another's record, and what ran there then.
-    fallen: IndexMap<VmId, (Instant, Vec<Fingerprint>)>,
+    last_crashes: IndexMap<VmId, (Instant, Vec<Fingerprint>)>,
 }
 
 impl Quarantine {
@@ -92,14 +92,14 @@
     pub fn isolation(&self, request: Fingerprint) -> Isolation {
         match self.suspects.get(&request).map(|s| s.endpoints.len()) {
             None => Isolation::None,
-            Some(count) if count >= CRASHES => Isolation::Refused,
-            Some(_) => Isolation::Apart,
+            Some(count) if count >= CRASH_LIMIT => Isolation::Refused,
+            Some(_) => Isolation::Isolated,
         }
     }
 
     /// Returns the endpoints that a request should not go to if others are left: for a suspect those where anything
     /// runs, for all others those where a suspect runs.
-    pub fn avoid(&self, request: Fingerprint) -> Vec<VmId> {
+    pub fn avoided_endpoints(&self, request: Fingerprint) -> Vec<VmId> {
         let suspect = self.suspects.contains_key(&request);
         self.running
             .iter()
@@ -110,7 +110,7 @@
 
     /// Returns the endpoints that a suspect must not go to even if no others are left: those where another one runs.
     /// Two suspects side by side could not be told apart, and an innocent one would be refused.
-    pub fn forbid(&self, request: Fingerprint) -> Vec<VmId> {
+    pub fn forbidden_endpoints(&self, request: Fingerprint) -> Vec<VmId> {
         if !self.suspects.contains_key(&request) {
             return Vec::new();
         }
@@ -150,35 +150,35 @@
     }
 
     /// Notes that an endpoint died, and returns the requests whose crash is to be recorded in the ledger.
-    pub fn crash(&mut self, now: Instant, endpoint: &VmId) -> Vec<Fingerprint> {
+    pub fn record_crash(&mut self, now: Instant, endpoint: &VmId) -> Vec<Fingerprint> {
         let requests: Vec<_> = self
             .running
             .swap_remove(endpoint)
             .map(|requests| requests.into_keys().collect())
             .unwrap_or_default();
-        let accident = self.is_accident(now, &requests);
-        self.deaths.push_back(Death {
+        let is_correlated = self.is_correlated(now, &requests);
+        self.crashes.push_back(Crash {
             at: now,
             requests: requests.clone(),
         });
-        if accident {
+        if is_correlated {
             return Vec::new();
         }
-        let blamed = self.blame(now, endpoint, requests.clone());
-        self.fallen.insert(endpoint.clone(), (now, requests));
-        for request in &blamed {
-            self.learn(now, *request, endpoint);
+        let suspects = self.select_suspects(now, endpoint, requests.clone());
+        self.last_crashes.insert(endpoint.clone(), (now, requests));
+        for request in &suspects {
+            self.add_suspect(now, *request, endpoint);
         }
-        blamed
+        suspects
     }
 
     /// Takes in a crash, of this router or from the ledger.
-    pub fn learn(&mut self, now: Instant, request: Fingerprint, endpoint: &VmId) {
+    pub fn add_suspect(&mut self, now: Instant, request: Fingerprint, endpoint: &VmId) {
         self.expire(now);
         let running = self.running.get(endpoint);
         let ran = running.map(|requests| requests.keys().copied().collect());
-        let fall = (now, ran.unwrap_or_default());
-        self.fallen.entry(endpoint.clone()).or_insert(fall);
+        let crash = (now, ran.unwrap_or_default());
+        self.last_crashes.entry(endpoint.clone()).or_insert(crash);
         let suspect = self.suspects.entry(request).or_insert(Suspect {
             endpoints: Vec::new(),
             at: now,
@@ -194,15 +194,20 @@
     /// An endpoint that fell a moment ago cuts off whatever is sent to it until it is up again. A request that met only
     /// that would be refused for the crash of another, so nothing that was sent there later is blamed, and nothing becomes
     /// a suspect by a fall that a record explains.
-    fn blame(&self, now: Instant, endpoint: &VmId, requests: Vec<Fingerprint>) -> Vec<Fingerprint> {
-        let fallen = self.fallen.get(endpoint);
-        let down = fallen.filter(|(at, _)| now < *at + DOWN);
-        let (known, fresh): (Vec<_>, Vec<_>) = requests
+    fn select_suspects(
+        &self,
+        now: Instant,
+        endpoint: &VmId,
+        requests: Vec<Fingerprint>,
+    ) -> Vec<Fingerprint> {
+        let last_crash = self.last_crashes.get(endpoint);
+        let down = last_crash.filter(|(at, _)| now < *at + RESTART_TIME);
+        let (known, unknown): (Vec<_>, Vec<_>) = requests
             .into_iter()
             .filter(|request| down.is_none_or(|(_, ran)| ran.contains(request)))
             .partition(|request| self.suspects.contains_key(request));
         if known.is_empty() && down.is_none() {
-            fresh
+            unknown
         } else {
             known
         }
@@ -212,10 +217,11 @@
     ///
     /// When a rack goes, what ran on one of its endpoints is sent to the next one, which dies too, and would be refused
     /// ever after though nothing is wrong with it.
-    fn is_accident(&mut self, now: Instant, requests: &[Fingerprint]) -> bool {
-        self.deaths.retain(|d| now < d.at + TOGETHER);
-        let apart = |d: &&Death| !d.requests.iter().any(|r| requests.contains(r));
-        self.deaths.iter().filter(apart).count() >= OTHERS
+    fn is_correlated(&mut self, now: Instant, requests: &[Fingerprint]) -> bool {
+        self.crashes
+            .retain(|crash| now < crash.at + CORRELATION_WINDOW);
+        let is_unrelated = |crash: &&Crash| !crash.requests.iter().any(|r| requests.contains(r));
+        self.crashes.iter().filter(is_unrelated).count() >= UNRELATED_CRASHES
     }
 
     fn has_suspect(&self, requests: &IndexMap<Fingerprint, u32>) -> bool {
@@ -223,9 +229,10 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        self.suspects.retain(|_, s| now < s.at + MEMORY);
-        self.fallen.retain(|_, (at, _)| now < *at + DOWN);
-        while self.suspects.len() >= SUSPECTS {
+        self.suspects.retain(|_, s| now < s.at + SUSPECT_RETENTION);
+        self.last_crashes
+            .retain(|_, (at, _)| now < *at + RESTART_TIME);
+        while self.suspects.len() >= MAX_SUSPECTS {
             self.suspects.shift_remove_index(0);
         }
     }
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -62,7 +62,7 @@
     {
         let blocks = blocks(request);
         let forbidden = self.forbidden(request, quarantine, site);
-        let avoided = quarantine.avoid(request.fingerprint);
+        let avoided = quarantine.avoided_endpoints(request.fingerprint);
         let mut choose = |excluded: &[VmId]| {
             let wish = Wish {
                 model: model(request),
@@ -91,7 +91,7 @@
         }
         let mine = |vm: &VmId| suspect_router(site.routers, vm) == Some(site.router);
         let (owned, others): (Vec<_>, Vec<_>) = self.chooser.vms().cloned().partition(mine);
-        let mut forbidden = quarantine.forbid(request.fingerprint);
+        let mut forbidden = quarantine.forbidden_endpoints(request.fingerprint);
         // With fewer endpoints than routers some router owns none, and its suspects run where they can.
         if !owned.is_empty() {
             forbidden.extend(others);
--- a/src/router/poison.rs
+++ b/src/router/poison.rs
@@ -25,7 +25,7 @@
 
     /// Takes note that an endpoint died, and records its suspects in the ledger for the other routers.
     pub(crate) fn endpoint_died(&mut self, now: Instant, endpoint: &VmId) {
-        for request in self.quarantine.crash(now, endpoint) {
+        for request in self.quarantine.record_crash(now, endpoint) {
             warn!(event = "crash", %endpoint, %request);
             let record = Record::Crash {
                 request,
@@ -42,7 +42,7 @@
         }
         for (record, verdict) in batch.records.iter().zip(verdicts) {
             if let (Record::Crash { request, endpoint }, Verdict::Accepted) = (record, verdict) {
-                self.quarantine.learn(now, *request, endpoint);
+                self.quarantine.add_suspect(now, *request, endpoint);
             }
         }
     }
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -389,16 +389,22 @@
     let mut quarantine = Quarantine::new();
     quarantine.start(poison, &e0);
     quarantine.start(innocent, &e0);
-    assert_eq!(quarantine.crash(now, &e0).len(), 2);
-    assert_eq!(quarantine.isolation(innocent), Isolation::Apart);
+    assert_eq!(quarantine.record_crash(now, &e0).len(), 2);
+    assert_eq!(quarantine.isolation(innocent), Isolation::Isolated);
     quarantine.start(poison, &e1);
-    assert_eq!(quarantine.forbid(innocent), std::slice::from_ref(&e1));
-    assert_eq!(quarantine.avoid(later), std::slice::from_ref(&e1));
+    assert_eq!(
+        quarantine.forbidden_endpoints(innocent),
+        std::slice::from_ref(&e1)
+    );
+    assert_eq!(
+        quarantine.avoided_endpoints(later),
+        std::slice::from_ref(&e1)
+    );
     quarantine.start(later, &e1);
     quarantine.start(innocent, &e2);
     quarantine.complete(innocent, &e2);
     assert_eq!(quarantine.isolation(innocent), Isolation::None);
-    assert_eq!(quarantine.crash(now + ms(5000), &e1), [poison]);
+    assert_eq!(quarantine.record_crash(now + ms(5000), &e1), [poison]);
     assert_eq!(quarantine.isolation(poison), Isolation::Refused);
     assert_eq!(quarantine.isolation(later), Isolation::None);
 }
@@ -412,9 +418,9 @@
         quarantine.start(Fingerprint(n), &name(&format!("e{n}")));
     }
     for n in 0..4 {
-        quarantine.crash(now + ms(n * 100), &name(&format!("e{n}")));
+        quarantine.record_crash(now + ms(n * 100), &name(&format!("e{n}")));
     }
     quarantine.start(Fingerprint(0), &name("e5"));
-    quarantine.crash(now + ms(900), &name("e5"));
-    assert_eq!(quarantine.isolation(Fingerprint(0)), Isolation::Apart);
+    quarantine.record_crash(now + ms(900), &name("e5"));
+    assert_eq!(quarantine.isolation(Fingerprint(0)), Isolation::Isolated);
 }
--- a/tests/decisions/poison.rs
+++ b/tests/decisions/poison.rs
@@ -76,13 +76,16 @@
     fn place(&mut self, router: usize, request: Fingerprint) -> Option<usize> {
         let quarantine = &self.routers[router];
         let (avoid, forbid) = match self.quarantine {
-            true => (quarantine.avoid(request), quarantine.forbid(request)),
+            true => (
+                quarantine.avoided_endpoints(request),
+                quarantine.forbidden_endpoints(request),
+            ),
             false => Default::default(),
         };
         let up: Vec<_> = (0..ENDPOINTS)
             .filter(|e| self.back[*e] <= self.now && !forbid.contains(&self.vms[*e]))
             .collect();
-        let suspect = quarantine.isolation(request) == Isolation::Apart && self.quarantine;
+        let suspect = quarantine.isolation(request) == Isolation::Isolated && self.quarantine;
         let mine = |e: &usize| {
             !suspect || suspect_router(&self.names, &self.vms[*e]) == self.names.get(router)
         };
@@ -132,7 +135,7 @@
         self.toll.crashes += 1;
         self.back[endpoint] = self.now + RESTART;
         for router in 0..ROUTERS {
-            for request in self.routers[router].crash(now, &self.vms[endpoint]) {
+            for request in self.routers[router].record_crash(now, &self.vms[endpoint]) {
                 self.records.push((self.now + RECORD, request, endpoint));
             }
         }
@@ -151,7 +154,7 @@
             self.ledger.entry(request).or_default().insert(endpoint);
             let vm = &self.vms[endpoint];
             let routers = self.routers.iter_mut();
-            routers.for_each(|r| r.learn(now, request, vm));
+            routers.for_each(|r| r.add_suspect(now, request, vm));
         }
         let ends = |r: &mut Run| r.end <= self.now;
         let ended: Vec<_> = self.runs.extract_if(.., ends).collect();
