--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -45,7 +45,7 @@
 impl Core {
     /// Takes a caller's request.
     pub(crate) fn arrive(&mut self, now: Instant, arrival: Arrival) {
-        self.retries.request(now);
+        self.retries.record_request(now);
         let id = arrival.id;
         match self.admit(now, &arrival) {
             Ok(request) => {
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -392,7 +392,7 @@
         if let Accounting::Grants(tuning) = self.tuning.accounting {
             let routers = self.members.roster.serving().len() as f64;
             let floor = tuning.spare * RETRY_PART / routers;
-            self.retries.allow(tuning.retries * RETRY_PART, floor);
+            self.retries.set_limits(tuning.retries * RETRY_PART, floor);
         }
     }
 
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -201,7 +201,7 @@
     let mut retries = 0;
     for _ in 0..10_000 {
         now += ms(10);
-        budget.request(now);
+        budget.record_request(now);
         while budget.try_retry(now) {
             retries += 1;
         }
@@ -220,7 +220,7 @@
     let mut retries = 0;
     for at in 0..4000 {
         now += ms(10);
-        budget.request(now);
+        budget.record_request(now);
         while at >= 3000 && budget.try_retry(now) {
             retries += 1;
         }
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -232,7 +232,7 @@
         let limit = &mut self.limits[&job.account];
         if job.excluded.is_empty() {
             limit.try_enter(now).map_err(|r| r.retry_after())?;
-            self.budget.request(now);
+            self.budget.record_request(now);
         }
         let ticket = QueueTicket {
             team: job.team.clone(),
