--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -49,9 +49,9 @@
     limits: Limits,
     tokens: f64,
     /// Places in the future that refused requests were sent to, so that they don't all come back for the same one.
-    promised: f64,
+    deferred: f64,
     active: u32,
-    at: Instant,
+    updated: Instant,
 }
 
 impl AccountLimit {
@@ -60,14 +60,14 @@
         Self {
             limits: limits.clone(),
             tokens: f64::from(limits.burst),
-            promised: 0.0,
+            deferred: 0.0,
             active: 0,
-            at: now,
+            updated: now,
         }
     }
 
     /// Takes over changed limits; what is in progress stays.
-    pub fn change(&mut self, now: Instant, limits: &Limits) {
+    pub fn set_limits(&mut self, now: Instant, limits: &Limits) {
         self.refill(now);
         self.tokens = self.tokens.min(f64::from(limits.burst));
         self.limits = limits.clone();
@@ -84,14 +84,14 @@
     ///
     /// The refusal, when the account is over a limit. Its wait grows with each refusal in a row, by the time that the
     /// rate needs for one more.
-    pub fn try_enter(&mut self, now: Instant) -> Result<(), Refusal> {
+    pub fn try_acquire(&mut self, now: Instant) -> Result<(), Refusal> {
         self.refill(now);
         if self.active >= self.limits.concurrency {
-            let retry_after = self.promise().max(BUSY_RETRY);
+            let retry_after = self.defer().max(BUSY_RETRY);
             return Err(Refusal::Concurrency { retry_after });
         }
         if self.tokens < 1.0 {
-            let retry_after = self.promise();
+            let retry_after = self.defer();
             return Err(Refusal::Rate { retry_after });
         }
         self.tokens -= 1.0;
@@ -100,7 +100,7 @@
     }
 
     /// Ends one request.
-    pub fn leave(&mut self) {
+    pub fn release(&mut self) {
         self.active = self.active.saturating_sub(1);
     }
 
@@ -109,16 +109,16 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        let gained = now.saturating_duration_since(self.at).as_secs_f64() * self.rate();
+        let gained = now.saturating_duration_since(self.updated).as_secs_f64() * self.rate();
         self.tokens = (self.tokens + gained).min(f64::from(self.limits.burst.max(1)));
-        self.promised = (self.promised - gained).max(0.0);
-        self.at = self.at.max(now);
+        self.deferred = (self.deferred - gained).max(0.0);
+        self.updated = self.updated.max(now);
     }
 
-    fn promise(&mut self) -> Duration {
+    fn defer(&mut self) -> Duration {
         let limit = MAX_RETRY.as_secs_f64() * self.rate();
-        self.promised = (self.promised + 1.0).min(limit);
-        let places = (self.promised - self.tokens).max(0.0);
-        Duration::from_secs_f64(places / self.rate()).min(MAX_RETRY)
+        self.deferred = (self.deferred + 1.0).min(limit);
+        let deficit = (self.deferred - self.tokens).max(0.0);
+        Duration::from_secs_f64(deficit / self.rate()).min(MAX_RETRY)
     }
 }
--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -109,7 +109,7 @@
         self.accounts
             .entry(account.clone())
             .or_insert_with(|| AccountLimit::new(now, &limits.unwrap_or_default()))
-            .try_enter(now)
+            .try_acquire(now)
     }
 
     /// Returns who holds a claim that a request waits for, if it is another router.
@@ -339,7 +339,7 @@
     /// Makes sure that an account's entry is given back.
     pub(crate) fn leave_account(&mut self, account: &AccountId) {
         if let Entry::Occupied(mut limit) = self.accounts.entry(account.clone()) {
-            limit.get_mut().leave();
+            limit.get_mut().release();
         }
     }
 }
--- a/src/router/configure.rs
+++ b/src/router/configure.rs
@@ -108,7 +108,7 @@
         info!(event = "config-in-force", version = %self.config.version());
         for (account, limit) in &mut self.accounts {
             if let Some(spec) = self.config.account(account) {
-                limit.change(now, &spec.limits);
+                limit.set_limits(now, &spec.limits);
             }
         }
         self.rebuild_pools(now);
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -47,16 +47,16 @@
         weight: 1,
     };
     let mut limit = AccountLimit::new(now, &limits);
-    assert_eq!(limit.try_enter(now), Ok(()));
-    assert_eq!(limit.try_enter(now), Ok(()));
+    assert_eq!(limit.try_acquire(now), Ok(()));
+    assert_eq!(limit.try_acquire(now), Ok(()));
     let waits: Vec<_> = (0..3)
-        .map(|_| limit.try_enter(now).unwrap_err().retry_after())
+        .map(|_| limit.try_acquire(now).unwrap_err().retry_after())
         .collect();
     assert_eq!(waits, [ms(100), ms(200), ms(300)]);
-    assert_eq!(limit.try_enter(now + ms(100)), Ok(()));
-    assert!(limit.try_enter(now + ms(1000)).is_err(), "three are in");
-    limit.leave();
-    assert_eq!(limit.try_enter(now + ms(1000)), Ok(()));
+    assert_eq!(limit.try_acquire(now + ms(100)), Ok(()));
+    assert!(limit.try_acquire(now + ms(1000)).is_err(), "three are in");
+    limit.release();
+    assert_eq!(limit.try_acquire(now + ms(1000)), Ok(()));
 }
 
 fn pool(count: usize) -> (Chooser, Ejector, Vec<VmId>, DomainId) {
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -139,7 +139,7 @@
         if let Self::Ours(ours) = self
             && let Some(limit) = ours.limits.get_mut(&job.account)
         {
-            limit.leave();
+            limit.release();
         }
     }
 
@@ -231,7 +231,7 @@
     fn arrive(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         let limit = &mut self.limits[&job.account];
         if job.excluded.is_empty() {
-            limit.try_enter(now).map_err(|r| r.retry_after())?;
+            limit.try_acquire(now).map_err(|r| r.retry_after())?;
             self.budget.record_request(now);
         }
         let ticket = QueueTicket {
@@ -243,7 +243,7 @@
             deadline: job.deadline,
         };
         self.queue.push(now, id, ticket).map(drop).map_err(|full| {
-            limit.leave();
+            limit.release();
             full.retry_after()
         })
     }
