--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -10,14 +10,14 @@
 use std::time::Instant;
 
 use jasmineridge::BlockHash;
-use jasmineridge::Caps;
 use jasmineridge::Chooser;
 use jasmineridge::DomainId;
+use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
-use jasmineridge::Evidence;
 use jasmineridge::FairQueue;
 use jasmineridge::Load;
 use jasmineridge::ModelId;
+use jasmineridge::Observation;
 use jasmineridge::Peer;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Quarantine;
@@ -88,7 +88,7 @@
     let mut fleet = Fleet {
         vms: (0..ENDPOINTS).map(|n| name("endpoint-", n)).collect(),
         chooser: Chooser::new(&name("router-", 0)),
-        ejector: Ejector::new(Caps::default()),
+        ejector: Ejector::new(EjectionLimits::default()),
         index: PrefixIndex::new(),
         rng: ChaCha8Rng::seed_from_u64(1),
     };
@@ -105,7 +105,7 @@
         fleet.chooser.report(now, vm, load);
         let time = Duration::from_millis(100 + n as u64 % 50);
         for _ in 0..8 {
-            let evidence = Evidence::Answered(time);
+            let evidence = Observation::Answered(time);
             fleet.ejector.record(now, vm, evidence, &mut fleet.rng);
         }
         fleet.index.learn(vm, &prompt(n as u64 % 1300));
@@ -161,7 +161,7 @@
     measure("record an answer of an endpoint", |n| {
         let vm = &fleet.vms[n as usize % ENDPOINTS];
         let now = now + Duration::from_millis(u64::from(n));
-        let evidence = Evidence::Answered(Duration::from_millis(100));
+        let evidence = Observation::Answered(Duration::from_millis(100));
         fleet.ejector.record(now, vm, evidence, &mut fleet.rng);
     });
 }
@@ -253,7 +253,7 @@
     });
     weigh("4,100 endpoints, chooser and ejector", ENDPOINTS, || {
         let mut chooser = Chooser::new(&name("router-", 0));
-        let mut ejector = Ejector::new(Caps::default());
+        let mut ejector = Ejector::new(EjectionLimits::default());
         for (n, vm) in vms.iter().enumerate() {
             let domain: DomainId = name("domain-", n % DOMAINS);
             chooser.put(vm, &domain, &[name("model-", n % MODELS)], 32);
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -19,59 +19,59 @@
 use crate::ids::VmId;
 
 /// Failures in a row that eject. At one failure in a hundred by chance, five in a row come once in ten thousand million.
-const FAILURES: u32 = 5;
+const EJECT_FAILURES: u32 = 5;
 
 /// Failed checks in a row that eject: fewer than requests, as a check is sent only every second or so.
-const CHECKS: u32 = 3;
+const EJECT_CHECKS: u32 = 3;
 
 /// The share of failures, averaged over about 16 requests, that ejects.
-const ERRORS: f64 = 0.5;
+const EJECT_ERROR_RATE: f64 = 0.5;
 
 /// How many times the pool's median time to the first token ejects. Below three, an endpoint that merely has the long
 /// prompts would go.
-const SLOW: f64 = 3.0;
+const EJECT_SLOWNESS: f64 = 3.0;
 
 /// How many answers a share of failures or a time must rest on.
-const SAMPLES: u32 = 8;
+const MIN_SAMPLES: u32 = 8;
 
 /// How many answers it takes for an endpoint to be thought slower than others, before it is ejected.
-const FEW: u32 = 2;
+const SLOWNESS_SAMPLES: u32 = 2;
 
 /// The weight of the newest sample in an average.
-const NEWEST: f64 = 1.0 / 16.0;
+const EWMA_WEIGHT: f64 = 1.0 / 16.0;
 
 /// How long an endpoint stays out the first time: a restart takes a few seconds.
-const FIRST_OUT: Duration = Duration::from_secs(5);
+const BASE_EJECTION: Duration = Duration::from_secs(5);
 
 /// The longest that it stays out between two trials.
-const LONGEST_OUT: Duration = Duration::from_secs(300);
+const MAX_EJECTION: Duration = Duration::from_secs(300);
 
 /// Half of the pause after a first failed request; each further one in a row doubles it. The caps do not count pauses:
 /// they are short, and rest on a request that did fail, not on a check. Without them an outage of a whole pool answers
 /// every waiting request with a failure within milliseconds, and callers spend all their tries on it.
-const PAUSE: Duration = Duration::from_millis(50);
+const BASE_PAUSE: Duration = Duration::from_millis(50);
 
 /// The longest pause: how late an outage's end may be noticed.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Good answers in a row that end a trial.
-const TRIAL: u32 = 3;
+const TRIAL_SUCCESSES: u32 = 3;
 
 /// How long an endpoint must have been well for its earlier ejections to be forgotten.
-const FORGET: Duration = Duration::from_secs(600);
+const EJECTION_RESET: Duration = Duration::from_secs(600);
 
 /// How much may be ejected, and how fast.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Caps {
+pub struct EjectionLimits {
     /// The most of a pool that may be out, of 1.
     pub pool: f64,
     /// The most of one failure domain that may be out, of 1.
     pub domain: f64,
     /// How often one more may go out.
-    pub pace: Duration,
+    pub interval: Duration,
 }
 
-impl Default for Caps {
+impl Default for EjectionLimits {
     /// Returns caps for a fleet that runs at up to four fifths of what it can do: a fifth of a pool; half of a failure
     /// domain, because a check that fails for a whole domain tells more about the way there than about the endpoints; one
     /// every two seconds, without which all that the other two allow goes in the first second of a false alarm.
@@ -79,14 +79,14 @@
         Self {
             pool: 0.2,
             domain: 0.5,
-            pace: Duration::from_secs(2),
+            interval: Duration::from_secs(2),
         }
     }
 }
 
 /// What was seen of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
+pub enum Observation {
     /// A request began to be answered, after this time.
     Answered(Duration),
     /// A request failed through the endpoint's fault.
@@ -110,36 +110,36 @@
 struct Endpoint {
     domain: DomainId,
     failures: u32,
-    checks: u32,
-    good: u32,
-    errors: f64,
+    failed_checks: u32,
+    successes: u32,
+    error_rate: f64,
     latency: f64,
     samples: u32,
     /// Until when it is out; on trial after that.
-    until: Option<Instant>,
+    ejected_until: Option<Instant>,
     /// Until when it gets nothing after a failed request, ejected or not.
-    paused: Option<Instant>,
+    paused_until: Option<Instant>,
     /// Whether failed checks alone put it out.
-    checked: bool,
+    ejected_by_checks: bool,
     ejections: u32,
-    changed: Instant,
+    measured_since: Instant,
 }
 
 /// Ejects the endpoints of one pool.
 #[derive(Debug, Default)]
 pub struct Ejector {
-    caps: Caps,
+    limits: EjectionLimits,
     endpoints: IndexMap<VmId, Endpoint, BuildHasherDefault<FastHasher>>,
     median: f64,
-    sorted: Option<Instant>,
-    last: Option<Instant>,
+    median_updated: Option<Instant>,
+    last_ejection: Option<Instant>,
 }
 
 impl Ejector {
     /// Makes one that knows no endpoint.
-    pub fn new(caps: Caps) -> Self {
+    pub fn new(limits: EjectionLimits) -> Self {
         Self {
-            caps,
+            limits,
             ..Self::default()
         }
     }
@@ -149,16 +149,16 @@
         self.endpoints.entry(vm.clone()).or_insert(Endpoint {
             domain: domain.clone(),
             failures: 0,
-            checks: 0,
-            good: 0,
-            errors: 0.0,
+            failed_checks: 0,
+            successes: 0,
+            error_rate: 0.0,
             latency: 0.0,
             samples: 0,
-            until: None,
-            paused: None,
-            checked: false,
+            ejected_until: None,
+            paused_until: None,
+            ejected_by_checks: false,
             ejections: 0,
-            changed: now,
+            measured_since: now,
         });
     }
 
@@ -170,7 +170,7 @@
     /// Returns whether an endpoint is used.
     pub fn health(&self, now: Instant, vm: &VmId) -> Health {
         match self.endpoints.get(vm) {
-            Some(e) if e.paused.is_some_and(|paused| now < paused) => Health::Out,
+            Some(e) if e.paused_until.is_some_and(|until| now < until) => Health::Out,
             Some(e) => e.health(now),
             None => Health::In,
         }
@@ -179,7 +179,9 @@
     /// Returns how many times the pool's median an endpoint takes to the first token; at least 1.
     pub fn slowness(&self, vm: &VmId) -> f64 {
         match self.endpoints.get(vm) {
-            Some(e) if e.samples >= FEW && self.median > 0.0 => (e.latency / self.median).max(1.0),
+            Some(e) if e.samples >= SLOWNESS_SAMPLES && self.median > 0.0 => {
+                (e.latency / self.median).max(1.0)
+            }
             _ => 1.0,
         }
     }
@@ -188,25 +190,25 @@
     pub fn ejected(&self) -> usize {
         self.endpoints
             .values()
-            .filter(|e| e.until.is_some())
+            .filter(|e| e.ejected_until.is_some())
             .count()
     }
 
     /// Takes in what was seen of an endpoint and ejects it or ends its trial where that follows.
-    pub fn record<R>(&mut self, now: Instant, vm: &VmId, evidence: Evidence, rng: &mut R)
+    pub fn record<R>(&mut self, now: Instant, vm: &VmId, observation: Observation, rng: &mut R)
     where
         R: Rng,
     {
-        self.sort(now);
+        self.update_median(now);
         let median = self.median;
         let Some(endpoint) = self.endpoints.get_mut(vm) else {
             return;
         };
-        endpoint.note(now, evidence);
-        let suspect = endpoint.suspect(median);
-        match endpoint.until {
-            None if suspect => self.eject(now, vm, rng),
-            Some(until) if now >= until => endpoint.try_out(now, evidence, median, rng),
+        endpoint.observe(now, observation);
+        let is_outlier = endpoint.is_outlier(median);
+        match endpoint.ejected_until {
+            None if is_outlier => self.eject(now, vm, rng),
+            Some(until) if now >= until => endpoint.update_trial(now, observation, median, rng),
             _ => (),
         }
     }
@@ -220,8 +222,8 @@
             return;
         }
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
-            endpoint.put_out(now, rng);
-            self.last = Some(now);
+            endpoint.eject(now, rng);
+            self.last_ejection = Some(now);
         }
     }
 
@@ -229,31 +231,36 @@
         let Some(endpoint) = self.endpoints.get(vm) else {
             return false;
         };
-        let paced = self.last.is_none_or(|last| now >= last + self.caps.pace);
-        let near: Vec<_> = self
+        let is_due = self
+            .last_ejection
+            .is_none_or(|last| now >= last + self.limits.interval);
+        let same_domain: Vec<_> = self
             .endpoints
             .values()
             .filter(|e| e.domain == endpoint.domain)
             .collect();
-        let out = near.iter().filter(|e| e.until.is_some()).count();
-        paced
-            && self.ejected() < allowed(self.endpoints.len(), self.caps.pool)
-            && out < allowed(near.len(), self.caps.domain)
+        let out = same_domain
+            .iter()
+            .filter(|e| e.ejected_until.is_some())
+            .count();
+        is_due
+            && self.ejected() < max_ejected(self.endpoints.len(), self.limits.pool)
+            && out < max_ejected(same_domain.len(), self.limits.domain)
     }
 
     /// Finds the pool's median time to the first token, once a second.
-    fn sort(&mut self, now: Instant) {
+    fn update_median(&mut self, now: Instant) {
         let fresh = self
-            .sorted
+            .median_updated
             .is_some_and(|at| now < at + Duration::from_secs(1));
         if fresh {
             return;
         }
-        self.sorted = Some(now);
+        self.median_updated = Some(now);
         let mut times: Vec<_> = self
             .endpoints
             .values()
-            .filter(|e| e.samples >= SAMPLES && e.until.is_none())
+            .filter(|e| e.samples >= MIN_SAMPLES && e.ejected_until.is_none())
             .map(|e| e.latency)
             .collect();
         times.sort_by(f64::total_cmp);
@@ -263,98 +270,99 @@
 
 impl Endpoint {
     fn health(&self, now: Instant) -> Health {
-        match self.until {
+        match self.ejected_until {
             None => Health::In,
             Some(until) if now >= until => Health::Trial,
             Some(_) => Health::Out,
         }
     }
 
-    fn note(&mut self, now: Instant, evidence: Evidence) {
-        match evidence {
-            Evidence::Answered(time) => {
+    fn observe(&mut self, now: Instant, observation: Observation) {
+        match observation {
+            Observation::Answered(time) => {
                 self.failures = 0;
-                self.paused = None;
-                self.good += 1;
-                self.average(0.0);
-                self.time(time.as_secs_f64());
+                self.paused_until = None;
+                self.successes += 1;
+                self.update_error_rate(0.0);
+                self.update_latency(time.as_secs_f64());
             }
-            Evidence::Failed => {
+            Observation::Failed => {
                 self.failures += 1;
-                self.good = 0;
-                let pause = PAUSE.saturating_mul(1 << self.failures.min(16));
-                self.paused = Some(now + pause.min(LONGEST_PAUSE));
-                self.average(1.0);
+                self.successes = 0;
+                let pause = BASE_PAUSE.saturating_mul(1 << self.failures.min(16));
+                self.paused_until = Some(now + pause.min(MAX_PAUSE));
+                self.update_error_rate(1.0);
             }
-            Evidence::Checked(true) => self.checks = 0,
-            Evidence::Checked(false) => self.checks += 1,
+            Observation::Checked(true) => self.failed_checks = 0,
+            Observation::Checked(false) => self.failed_checks += 1,
         }
     }
 
-    fn average(&mut self, error: f64) {
+    fn update_error_rate(&mut self, error: f64) {
         self.samples = self.samples.saturating_add(1);
-        self.errors += (error - self.errors) * NEWEST.max(1.0 / f64::from(self.samples));
+        self.error_rate +=
+            (error - self.error_rate) * EWMA_WEIGHT.max(1.0 / f64::from(self.samples));
     }
 
-    fn time(&mut self, time: f64) {
-        self.latency += (time - self.latency) * NEWEST.max(1.0 / f64::from(self.samples));
+    fn update_latency(&mut self, time: f64) {
+        self.latency += (time - self.latency) * EWMA_WEIGHT.max(1.0 / f64::from(self.samples));
     }
 
-    fn suspect(&self, median: f64) -> bool {
-        let failing = self.samples >= SAMPLES && self.errors > ERRORS;
-        let slow = self.samples >= SAMPLES && self.latency > median * SLOW;
-        self.failures >= FAILURES || self.checks >= CHECKS || failing || slow
+    fn is_outlier(&self, median: f64) -> bool {
+        let failing = self.samples >= MIN_SAMPLES && self.error_rate > EJECT_ERROR_RATE;
+        let slow = self.samples >= MIN_SAMPLES && self.latency > median * EJECT_SLOWNESS;
+        self.failures >= EJECT_FAILURES || self.failed_checks >= EJECT_CHECKS || failing || slow
     }
 
-    fn put_out<R>(&mut self, now: Instant, rng: &mut R)
+    fn eject<R>(&mut self, now: Instant, rng: &mut R)
     where
         R: Rng,
     {
-        if now >= self.changed + FORGET {
+        if now >= self.measured_since + EJECTION_RESET {
             self.ejections = 0;
         }
-        self.checked = self.checks >= CHECKS;
-        let time = FIRST_OUT
+        self.ejected_by_checks = self.failed_checks >= EJECT_CHECKS;
+        let time = BASE_EJECTION
             .saturating_mul(1 << self.ejections.min(16))
-            .min(LONGEST_OUT);
+            .min(MAX_EJECTION);
         // Routers eject together and would try the endpoint again together.
-        let varied = time.mul_f64(rng.random_range(1.0..1.5));
+        let jittered = time.mul_f64(rng.random_range(1.0..1.5));
         self.ejections += 1;
-        self.until = Some(now + varied);
-        self.forget(now);
+        self.ejected_until = Some(now + jittered);
+        self.reset(now);
     }
 
     /// Judges a trial by what it showed.
-    fn try_out<R>(&mut self, now: Instant, evidence: Evidence, median: f64, rng: &mut R)
+    fn update_trial<R>(&mut self, now: Instant, observation: Observation, median: f64, rng: &mut R)
     where
         R: Rng,
     {
-        let slow = matches!(evidence, Evidence::Answered(t) if t.as_secs_f64() > median * SLOW);
-        if slow || evidence == Evidence::Failed {
-            return self.put_out(now, rng);
+        let slow = matches!(observation, Observation::Answered(t) if t.as_secs_f64() > median * EJECT_SLOWNESS);
+        if slow || observation == Observation::Failed {
+            return self.eject(now, rng);
         }
         // A check says nothing of an endpoint that is slow or fails requests.
-        let passed = self.checked && evidence == Evidence::Checked(true);
-        if self.good >= TRIAL || passed {
-            self.until = None;
-            self.forget(now);
+        let passed = self.ejected_by_checks && observation == Observation::Checked(true);
+        if self.successes >= TRIAL_SUCCESSES || passed {
+            self.ejected_until = None;
+            self.reset(now);
         }
     }
 
     /// Starts measuring anew.
-    fn forget(&mut self, now: Instant) {
+    fn reset(&mut self, now: Instant) {
         self.failures = 0;
-        self.checks = 0;
-        self.good = 0;
-        self.errors = 0.0;
+        self.failed_checks = 0;
+        self.successes = 0;
+        self.error_rate = 0.0;
         self.latency = 0.0;
         self.samples = 0;
-        self.changed = now;
+        self.measured_since = now;
     }
 }
 
 /// Returns how many of `count` may be out: none of two, and at least one of three.
-fn allowed(count: usize, share: f64) -> usize {
+fn max_ejected(count: usize, share: f64) -> usize {
     match count {
         0..=2 => 0,
         _ => ((count as f64 * share) as usize).max(1),
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -4,9 +4,9 @@
 
 use rand::Rng;
 
-use crate::decide::Caps;
 use crate::decide::Choice;
 use crate::decide::Chooser;
+use crate::decide::EjectionLimits;
 use crate::decide::Ejector;
 use crate::decide::Isolation;
 use crate::decide::PrefixIndex;
@@ -43,7 +43,7 @@
         Self {
             chooser: Chooser::new(router),
             index: PrefixIndex::new(),
-            health: Ejector::new(Caps::default()),
+            health: Ejector::new(EjectionLimits::default()),
         }
     }
 
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -14,9 +14,9 @@
 use crate::config::PoolSpec;
 use crate::decide::CacheEvent;
 use crate::decide::Choice;
-use crate::decide::Evidence;
 use crate::decide::FairQueue;
 use crate::decide::Load;
+use crate::decide::Observation;
 use crate::decide::Sample;
 use crate::decide::Usage;
 use crate::decide::WaitingId;
@@ -285,14 +285,14 @@
         let time = waited.unwrap_or(now - *since);
         let (sample, evidence) = match end {
             RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
-                (Sample::Answered(time), Some(Evidence::Answered(time)))
+                (Sample::Answered(time), Some(Observation::Answered(time)))
             }
             RunEnd::NotRun { retry: Some(_) } => (Sample::Refused, None),
             RunEnd::NotRun { .. } | RunEnd::Broken { .. } => {
-                (Sample::Other, Some(Evidence::Failed))
+                (Sample::Other, Some(Observation::Failed))
             }
             // A caller that gave up on an endpoint's silence tells of the endpoint, one that left early does not.
-            RunEnd::CallerGone { .. } if silent => (Sample::Other, Some(Evidence::Failed)),
+            RunEnd::CallerGone { .. } if silent => (Sample::Other, Some(Observation::Failed)),
             RunEnd::CallerGone { .. } | RunEnd::Unsent => (Sample::Other, None),
         };
         if matches!(end, RunEnd::NotRun { .. } | RunEnd::Broken { .. }) {
@@ -384,7 +384,7 @@
         for pool in self.pools.values_mut() {
             pool.picker
                 .health
-                .record(now, vm, Evidence::Checked(passed), &mut self.rng);
+                .record(now, vm, Observation::Checked(passed), &mut self.rng);
         }
     }
 }
--- a/tests/decisions/cold.rs
+++ b/tests/decisions/cold.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Prompt;
@@ -43,7 +43,7 @@
     /// Makes one before so many endpoints, which have so many slots.
     fn new(now: Instant, routers: usize, endpoints: usize, slots: u32) -> Self {
         let routers: Vec<VmId> = (0..routers).map(|n| name(&format!("vm-{n}"))).collect();
-        let mut health = Ejector::new(Caps::default());
+        let mut health = Ejector::new(EjectionLimits::default());
         let vms: Vec<_> = (0..endpoints).map(endpoint).collect();
         for vm in &vms {
             health.put(now, vm, &name("domain-0"));
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -6,12 +6,11 @@
 use jasmineridge::Action;
 use jasmineridge::BlockHash;
 use jasmineridge::CacheEvent;
-use jasmineridge::Caps;
 use jasmineridge::Chooser;
 use jasmineridge::DomainId;
+use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::EndpointLimit;
-use jasmineridge::Evidence;
 use jasmineridge::Fingerprint;
 use jasmineridge::Health;
 use jasmineridge::HoldingPolicy;
@@ -19,6 +18,7 @@
 use jasmineridge::Lean;
 use jasmineridge::Limits;
 use jasmineridge::Load;
+use jasmineridge::Observation;
 use jasmineridge::Peer;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Quarantine;
@@ -62,7 +62,7 @@
 fn pool(count: usize) -> (Chooser, Ejector, Vec<VmId>, DomainId) {
     let domain: DomainId = name("d0");
     let mut chooser = Chooser::new(&name("router"));
-    let mut ejector = Ejector::new(Caps::default());
+    let mut ejector = Ejector::new(EjectionLimits::default());
     let vms: Vec<VmId> = (0..count).map(|n| name(&format!("e{n}"))).collect();
     for vm in &vms {
         chooser.put(vm, &domain, &[name("m")], 4);
@@ -161,7 +161,7 @@
     while now < begin + Duration::from_secs(60) {
         if ejector.health(now, &vms[0]) != Health::Out {
             trials.push(now);
-            ejector.record(now, &vms[0], Evidence::Failed, &mut rng);
+            ejector.record(now, &vms[0], Observation::Failed, &mut rng);
         }
         now += ms(100);
     }
@@ -172,7 +172,7 @@
     );
     while ejector.health(now, &vms[0]) != Health::In {
         now += ms(1000);
-        ejector.record(now, &vms[0], Evidence::Answered(ms(100)), &mut rng);
+        ejector.record(now, &vms[0], Observation::Answered(ms(100)), &mut rng);
         assert!(now < begin + Duration::from_secs(400));
     }
 }
@@ -186,7 +186,7 @@
     for n in 0..4000 {
         let now = now + ms(n);
         for vm in &vms {
-            ejector.record(now, vm, Evidence::Checked(false), &mut rng);
+            ejector.record(now, vm, Observation::Checked(false), &mut rng);
         }
         assert!(ejector.ejected() <= 3);
     }
--- a/tests/decisions/homes.rs
+++ b/tests/decisions/homes.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use indexmap::IndexSet;
-use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Prompt;
@@ -50,7 +50,7 @@
 impl Fleet {
     fn new() -> Self {
         let now = start();
-        let mut health = Ejector::new(Caps::default());
+        let mut health = Ejector::new(EjectionLimits::default());
         let engines: Vec<VmId> = (0..ENGINES).map(engine).collect();
         let routers = (0..ROUTERS).map(|n| {
             let mut router = Chooser::new(&name(&format!("router-{n}")));
--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use jasmineridge::Caps;
+use jasmineridge::EjectionLimits;
 
 use crate::router::Kind;
 use crate::sim::Fault;
@@ -225,7 +225,7 @@
 /// those that are left can't do the work.
 #[test]
 fn flapping() {
-    let setup = |caps: Caps| {
+    let setup = |caps: EjectionLimits| {
         move |kind| {
             let mut setup = Setup::new(kind, Vec::new());
             setup.groups = teams(&[setup.capacity(100) * 0.7]);
@@ -234,12 +234,12 @@
             setup
         }
     };
-    let uncapped = Caps {
+    let uncapped = EjectionLimits {
         pool: 1.0,
         domain: 1.0,
-        pace: Duration::ZERO,
+        interval: Duration::ZERO,
     };
-    let [capped, plain] = both("flapping checks", setup(Caps::default()));
+    let [capped, plain] = both("flapping checks", setup(EjectionLimits::default()));
     let [uncapped, _] = both("flapping checks, without caps", setup(uncapped));
     let [capped, uncapped, plain] = [capped, uncapped, plain].map(|o| o.groups[0].wait(0.95));
     println!("  p95 wait {capped:.3} s with caps, {uncapped:.3} s without, plain {plain:.3} s");
--- a/tests/decisions/prefill.rs
+++ b/tests/decisions/prefill.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Prompt;
@@ -76,7 +76,7 @@
     let mut rng = rng();
     let mut now = start();
     let mut chooser = Chooser::new(&name("router-1"));
-    let mut health = Ejector::new(Caps::default());
+    let mut health = Ejector::new(EjectionLimits::default());
     let index = PrefixIndex::new();
     let vms: Vec<VmId> = (0..ENGINES).map(|n| name(&format!("engine-{n}"))).collect();
     for vm in &vms {
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -11,9 +11,9 @@
 use jasmineridge::Chooser;
 use jasmineridge::DomainId;
 use jasmineridge::Ejector;
-use jasmineridge::Evidence;
 use jasmineridge::FairQueue;
 use jasmineridge::Load;
+use jasmineridge::Observation;
 use jasmineridge::PrefixIndex;
 use jasmineridge::QueueTicket;
 use jasmineridge::RetryBudget;
@@ -147,7 +147,7 @@
         if let Self::Ours(ours) = self {
             let vm = ours.vms[engine].clone();
             ours.ejector
-                .record(now, &vm, Evidence::Answered(time), &mut ours.rng);
+                .record(now, &vm, Observation::Answered(time), &mut ours.rng);
         }
     }
 
@@ -169,7 +169,7 @@
             Self::Ours(ours) => {
                 let vm = ours.vms[engine].clone();
                 ours.ejector
-                    .record(now, &vm, Evidence::Checked(passed), &mut ours.rng);
+                    .record(now, &vm, Observation::Checked(passed), &mut ours.rng);
             }
             Self::Plain(plain) => plain.out[engine] = !passed,
         }
@@ -287,7 +287,7 @@
             }
             End::Failed | End::Refused => {
                 self.ejector
-                    .record(now, &vm, Evidence::Failed, &mut self.rng);
+                    .record(now, &vm, Observation::Failed, &mut self.rng);
                 Sample::Other
             }
             End::Cancelled => Sample::Other,
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -8,7 +8,7 @@
 use jasmineridge::AccountId;
 use jasmineridge::BlockHash;
 use jasmineridge::CacheEvent;
-use jasmineridge::Caps;
+use jasmineridge::EjectionLimits;
 use jasmineridge::Limits;
 use jasmineridge::Load;
 use jasmineridge::TeamId;
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) kind: Kind,
-    pub(crate) caps: Caps,
+    pub(crate) caps: EjectionLimits,
     pub(crate) routers: usize,
     pub(crate) engines: usize,
     pub(crate) groups: Vec<Group>,
@@ -94,7 +94,7 @@
     pub(crate) fn new(kind: Kind, groups: Vec<Group>) -> Self {
         Self {
             kind,
-            caps: Caps::default(),
+            caps: EjectionLimits::default(),
             routers: 6,
             engines: 12,
             groups,
