--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -121,7 +121,7 @@
         endpoint.domain = domain.clone();
         endpoint.models = models.to_vec();
         endpoint.limit = limit;
-        endpoint.own.change(limit);
+        endpoint.own.set_max(limit);
     }
 
     /// Keeps the limit of an endpoint at its setting.
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -14,43 +14,43 @@
 /// The part of the setting that a router begins with. Several routers share an endpoint, and what was sent too much waits
 /// there until it is worked off: beginning at a quarter cost a tenth of the goodput of a burst, beginning at all of it
 /// half a minute.
-const FIRST: f64 = 0.125;
+const INITIAL_SHARE: f64 = 0.125;
 
 /// The least that it begins at, if the setting allows it.
-const FEW: f64 = 4.0;
+const MIN_INITIAL: f64 = 4.0;
 
 /// How far one report moves the limit, of the way to what would fit. A report is a second or so old, and all routers
 /// follow the same one: above a half they swing, below a fifth a burst is over before they have followed.
-const GAIN: f64 = 0.4;
+const REPORT_GAIN: f64 = 0.4;
 
 /// The most that the limit may be thought too low: an endpoint with room does not say how much more it could do.
-const MOST_UP: f64 = 1.25;
+const MAX_RATIO: f64 = 1.25;
 
 /// The most that it may be thought too high: what waits there is being worked off, and tells little of what will fit.
-const MOST_DOWN: f64 = 0.5;
+const MIN_RATIO: f64 = 0.5;
 
 /// How many more are tried at an endpoint that is full without a queue.
-const PROBE: f64 = 0.5;
+const PROBE_STEP: f64 = 0.5;
 
 /// After so long without a report answers alone decide: a plain service sends none.
-const SILENT: Duration = Duration::from_secs(5);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What remains of the limit when answers are slow.
-const BACK: f64 = 0.85;
+const BACKOFF_FACTOR: f64 = 0.85;
 
 /// How often it steps back for that at most: the next answers are of requests that were sent before.
-const PACE: Duration = Duration::from_secs(2);
+const BACKOFF_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How many times the best time to the first token is too long. Prompts of one model differ by an order of magnitude,
 /// and a longer one is no sign of overload by itself.
-const SLOW: f64 = 8.0;
+const SLOW_FACTOR: f64 = 8.0;
 
 /// How fast the best time is forgotten: by a tenth in a thousand samples, so that one lucky start does not count for
 /// ever.
-const FORGOTTEN: f64 = 1.0001;
+const BEST_DECAY: f64 = 1.0001;
 
 /// The weight of the newest sample in the average time.
-const NEWEST: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 
 /// How a request at the endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
 /// One router's limit on its requests in progress at one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointLimit {
-    most: f64,
+    max: f64,
     limit: f64,
     active: u32,
     /// Whether the limit stays what the pool's setting says.
@@ -76,34 +76,34 @@
     /// How many the endpoint runs at once, known once it had some waiting.
     slots: Option<f64>,
     /// Whether the limit was reached, and anything answered, since the last report.
-    reached: bool,
+    limit_reached: bool,
     answered: bool,
     /// Whether it was ever too high.
-    found: bool,
-    reported: Option<Instant>,
-    stepped: Option<Instant>,
-    best: f64,
-    average: f64,
+    overshot: bool,
+    last_report: Option<Instant>,
+    last_backoff: Option<Instant>,
+    best_latency: f64,
+    mean_latency: f64,
 }
 
 impl EndpointLimit {
     /// Makes a limit that never exceeds what the pool's setting allows, and begins far below it.
-    pub fn new(most: u32) -> Self {
-        let most = f64::from(most.max(1));
+    pub fn new(max: u32) -> Self {
+        let max = f64::from(max.max(1));
         Self {
-            most,
-            limit: (most * FIRST).max(FEW).min(most),
+            max,
+            limit: (max * INITIAL_SHARE).max(MIN_INITIAL).min(max),
             active: 0,
             fixed: false,
             credit: 0.0,
             slots: None,
-            reached: false,
+            limit_reached: false,
             answered: false,
-            found: false,
-            reported: None,
-            stepped: None,
-            best: f64::MAX,
-            average: 0.0,
+            overshot: false,
+            last_report: None,
+            last_backoff: None,
+            best_latency: f64::MAX,
+            mean_latency: 0.0,
         }
     }
 
@@ -113,7 +113,7 @@
     /// and a limit that follows it would shrink to nothing on an idle endpoint.
     pub fn fix(&mut self) {
         self.fixed = true;
-        self.limit = self.most;
+        self.limit = self.max;
     }
 
     /// Returns how many may be in progress now.
@@ -127,11 +127,11 @@
     }
 
     /// Takes over a changed setting.
-    pub fn change(&mut self, most: u32) {
-        self.most = f64::from(most.max(1));
+    pub fn set_max(&mut self, max: u32) {
+        self.max = f64::from(max.max(1));
         self.limit = match self.fixed {
-            true => self.most,
-            false => self.limit.min(self.most),
+            true => self.max,
+            false => self.limit.min(self.max),
         };
     }
 
@@ -144,7 +144,7 @@
     pub fn try_acquire(&mut self) -> bool {
         let room = self.has_room();
         self.active += 1;
-        self.reached |= self.active >= self.limit();
+        self.limit_reached |= self.active >= self.limit();
         room
     }
 
@@ -156,51 +156,51 @@
             return;
         }
         match sample {
-            Sample::Answered(time) => self.answered(now, time.as_secs_f64()),
-            Sample::Refused => self.step_back(now),
+            Sample::Answered(time) => self.record_latency(now, time.as_secs_f64()),
+            Sample::Refused => self.back_off(now),
             Sample::Other => (),
         }
     }
 
     /// Takes in the endpoint's load report.
     pub fn report(&mut self, now: Instant, load: Load) {
-        let ratio = self.fitting(load);
-        self.found |= ratio < 1.0;
+        let ratio = self.capacity_ratio(load);
+        self.overshot |= ratio < 1.0;
         // A limit that is not reached is not known to be good. Nor is one while nothing is answered: an endpoint that is
         // down reports, or is thought, to be idle, and would be flooded when it is back.
-        if ratio < 1.0 || self.reached && self.answered {
-            let factor = 1.0 + (ratio - 1.0) * GAIN;
-            self.limit = (self.limit * factor).clamp(1.0, self.most);
+        if ratio < 1.0 || self.limit_reached && self.answered {
+            let factor = 1.0 + (ratio - 1.0) * REPORT_GAIN;
+            self.limit = (self.limit * factor).clamp(1.0, self.max);
         }
-        self.reported = Some(now);
-        self.reached = false;
+        self.last_report = Some(now);
+        self.limit_reached = false;
         self.answered = false;
     }
 
     /// Returns what would fill the endpoint, of what it has.
-    fn fitting(&mut self, load: Load) -> f64 {
+    fn capacity_ratio(&mut self, load: Load) -> f64 {
         let running = f64::from(load.running);
-        let all = running + f64::from(load.waiting);
+        let total = running + f64::from(load.waiting);
         match self.slots {
             _ if load.waiting > 0 => self.slots = Some(running),
             // A full batch with nothing waiting may be one that could be larger.
-            Some(slots) if running >= slots => self.slots = Some(running + PROBE),
+            Some(slots) if running >= slots => self.slots = Some(running + PROBE_STEP),
             _ => (),
         }
-        let ratio = self.slots.map_or(MOST_UP, |slots| slots / all.max(1.0));
-        ratio.clamp(MOST_DOWN, MOST_UP)
+        let ratio = self.slots.map_or(MAX_RATIO, |slots| slots / total.max(1.0));
+        ratio.clamp(MIN_RATIO, MAX_RATIO)
     }
 
-    fn answered(&mut self, now: Instant, time: f64) {
+    fn record_latency(&mut self, now: Instant, time: f64) {
         self.answered = true;
-        self.best = (self.best * FORGOTTEN).min(time);
-        self.average = match self.average {
+        self.best_latency = (self.best_latency * BEST_DECAY).min(time);
+        self.mean_latency = match self.mean_latency {
             0.0 => time,
-            average => average + (time - average) * NEWEST,
+            mean => mean + (time - mean) * EWMA_WEIGHT,
         };
-        if self.average > self.best * SLOW {
-            self.step_back(now);
-        } else if self.reached {
+        if self.mean_latency > self.best_latency * SLOW_FACTOR {
+            self.back_off(now);
+        } else if self.limit_reached {
             self.grow(now);
         }
     }
@@ -208,19 +208,22 @@
     /// Grows, where no reports say better: by one for each answer until it was once too high, and by one for each round
     /// of answers from then on.
     fn grow(&mut self, now: Instant) {
-        if self.reported.is_some_and(|at| now < at + SILENT) {
+        if self.last_report.is_some_and(|at| now < at + REPORT_TIMEOUT) {
             return;
         }
-        let step = if self.found { 1.0 / self.limit } else { 1.0 };
-        self.limit = (self.limit + step).min(self.most);
+        let step = if self.overshot { 1.0 / self.limit } else { 1.0 };
+        self.limit = (self.limit + step).min(self.max);
     }
 
-    fn step_back(&mut self, now: Instant) {
-        if self.stepped.is_some_and(|at| now < at + PACE) {
+    fn back_off(&mut self, now: Instant) {
+        if self
+            .last_backoff
+            .is_some_and(|at| now < at + BACKOFF_INTERVAL)
+        {
             return;
         }
-        self.stepped = Some(now);
-        self.found = true;
-        self.limit = (self.limit * BACK).max(1.0);
+        self.last_backoff = Some(now);
+        self.overshot = true;
+        self.limit = (self.limit * BACKOFF_FACTOR).max(1.0);
     }
 }
