--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -148,7 +148,7 @@
     /// send it while it is.
     pub fn cool(&mut self, vm: &VmId, until: Option<Instant>, share: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
-            endpoint.cool(until, share);
+            endpoint.set_cold(until, share);
         }
     }
 
@@ -165,7 +165,7 @@
             let started = endpoint.own.try_acquire();
             endpoint.note(now);
             if let Some(cold) = &mut endpoint.cold {
-                cold.send(now);
+                cold.record_send(now);
             }
             started
         })
--- a/src/decide/cold.rs
+++ b/src/decide/cold.rs
@@ -16,18 +16,18 @@
 use crate::ids::VmId;
 
 /// The time that an endpoint's rate counts for.
-const SECOND: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// An endpoint that is cold, and what this router may send it.
 #[derive(Clone, Debug)]
-pub(crate) struct Cold {
+pub(crate) struct ColdLimit {
     until: Instant,
     /// The most that this router may send it in any second.
     share: u32,
     sent: VecDeque<Instant>,
 }
 
-impl Cold {
+impl ColdLimit {
     /// Makes one for an endpoint that is cold until a time.
     pub(crate) fn new(until: Instant, share: u32) -> Self {
         Self {
@@ -38,7 +38,7 @@
     }
 
     /// Takes over until when the endpoint is cold, and the router's share of its rate.
-    pub(crate) fn change(&mut self, until: Instant, share: u32) {
+    pub(crate) fn update(&mut self, until: Instant, share: u32) {
         self.until = until;
         self.share = share;
     }
@@ -50,13 +50,17 @@
 
     /// Returns whether this router may send it one more.
     pub(crate) fn admits(&self, now: Instant) -> bool {
-        let recent = self.sent.iter().filter(|at| now < **at + SECOND).count();
+        let recent = self
+            .sent
+            .iter()
+            .filter(|at| now < **at + RATE_WINDOW)
+            .count();
         (recent as u64) < u64::from(self.share)
     }
 
     /// Counts a request that is sent to it.
-    pub(crate) fn send(&mut self, now: Instant) {
-        while self.sent.front().is_some_and(|at| now >= *at + SECOND) {
+    pub(crate) fn record_send(&mut self, now: Instant) {
+        while self.sent.front().is_some_and(|at| now >= *at + RATE_WINDOW) {
             self.sent.pop_front();
         }
         self.sent.push_back(now);
@@ -71,12 +75,12 @@
         return rate / count.max(1);
     }
     let seed = xxh3_64_with_seed(endpoint.as_str().as_bytes(), 0);
-    let own = order(seed, router);
-    let before = routers.iter().filter(|vm| order(seed, vm) < own);
+    let own = rank(seed, router);
+    let before = routers.iter().filter(|vm| rank(seed, vm) < own);
     u32::from(before.count() < rate as usize)
 }
 
 /// Returns where a router stands among those that may send to an endpoint; the least is first.
-fn order(seed: u64, vm: &VmId) -> (Reverse<u64>, &VmId) {
+fn rank(seed: u64, vm: &VmId) -> (Reverse<u64>, &VmId) {
     (Reverse(xxh3_64_with_seed(vm.as_str().as_bytes(), seed)), vm)
 }
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -7,7 +7,7 @@
 
 use crate::decide::choose::Load;
 use crate::decide::choose::Wish;
-use crate::decide::cold::Cold;
+use crate::decide::cold::ColdLimit;
 use crate::decide::concurrency::EndpointLimit;
 use crate::decide::health::Health;
 use crate::decide::prefill::Prefill;
@@ -63,7 +63,7 @@
     changes: VecDeque<(Instant, u32)>,
     pub(super) prefill: Prefill,
     /// Set where it was cold of late.
-    pub(super) cold: Option<Cold>,
+    pub(super) cold: Option<ColdLimit>,
 }
 
 impl Endpoint {
@@ -94,10 +94,10 @@
     }
 
     /// Takes over until when it is cold, nothing where it is warm, and this router's share of what it bears then.
-    pub(super) fn cool(&mut self, until: Option<Instant>, share: u32) {
+    pub(super) fn set_cold(&mut self, until: Option<Instant>, share: u32) {
         match (&mut self.cold, until) {
-            (Some(cold), Some(until)) => cold.change(until, share),
-            (cold, until) => *cold = until.map(|until| Cold::new(until, share)),
+            (Some(cold), Some(until)) => cold.update(until, share),
+            (cold, until) => *cold = until.map(|until| ColdLimit::new(until, share)),
         }
     }
 
