--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -121,13 +121,13 @@
         endpoint.domain = domain.clone();
         endpoint.models = models.to_vec();
         endpoint.limit = limit;
-        endpoint.own.set_max(limit);
+        endpoint.own_limit.set_max(limit);
     }
 
     /// Keeps the limit of an endpoint at its setting.
     pub fn fix(&mut self, vm: &VmId) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
-            endpoint.own.fix();
+            endpoint.own_limit.fix();
         }
     }
 
@@ -162,8 +162,8 @@
     /// Counts a request that is sent to an endpoint, and tells whether its limit allows it.
     pub fn start(&mut self, now: Instant, vm: &VmId) -> bool {
         self.endpoints.get_mut(vm).is_some_and(|endpoint| {
-            let started = endpoint.own.try_acquire();
-            endpoint.note(now);
+            let started = endpoint.own_limit.try_acquire();
+            endpoint.record_change(now);
             if let Some(cold) = &mut endpoint.cold {
                 cold.record_send(now);
             }
@@ -174,8 +174,8 @@
     /// Counts a request that ended at an endpoint, and learns from how it went.
     pub fn end(&mut self, now: Instant, vm: &VmId, sample: Sample) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
-            endpoint.own.release(now, sample);
-            endpoint.note(now);
+            endpoint.own_limit.release(now, sample);
+            endpoint.record_change(now);
         }
     }
 
@@ -273,7 +273,7 @@
         let is_home = |vm: &VmId| homes.contains(&homes::rank(vm, prompt.shared));
         let times = usable.iter().map(|(vm, endpoint)| {
             let home = is_home(vm);
-            let time = endpoint.first_token(now, prompt, domain, home);
+            let time = endpoint.first_token_time(now, prompt, domain, home);
             ((time, rng.random::<u32>()), *vm, home)
         });
         let (_, vm, home) = times.min_by_key(|(order, _, _)| *order)?;
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -19,35 +19,35 @@
 
 /// The weight of the newest report in what others are thought to run. All routers get the same report; those that take it
 /// at its word go to the same endpoint until the next one.
-const NEWEST: f64 = 0.1;
+const REPORT_WEIGHT: f64 = 0.1;
 
 /// After so long a report counts no more. An endpoint that was full when its reports ceased would get nothing ever after,
 /// though it may be idle; its own answers tell how it is.
-const STALE: Duration = Duration::from_secs(10);
+const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 
 /// How many blocks to compute count as much as a full endpoint. At 16 tokens a block and a prefill of 10,000 tokens a
 /// second these take 0.4 s, about what a full batch adds to the time to the first token.
-const FULL_BLOCKS: f64 = 256.0;
+const FULL_LOAD_BLOCKS: f64 = 256.0;
 
 /// What another failure domain counts, of a full endpoint: a millisecond or two on each token's way.
-const REMOTE: f64 = 0.05;
+const REMOTE_PENALTY: f64 = 0.05;
 
 /// How long ago a load report may have been measured for the correction by own requests to be exact.
-const HISTORY: Duration = Duration::from_secs(5);
+const MAX_HISTORY: Duration = Duration::from_secs(5);
 
 /// How many changes of the own count are remembered for each endpoint.
-const CHANGES: usize = 64;
+const MAX_CHANGES: usize = 64;
 
 /// How much more than its own time a shared part counts where it would be read again: that delays all prompts that come
 /// after it, and pushes another part out. Without this a part that many ask for is read by one engine after the other.
-const AGAIN: f64 = 6.0;
+const RECOMPUTE_FACTOR: f64 = 6.0;
 
 /// What a request that an engine runs already adds to the time to the next one's first token: each step of a full batch
 /// takes a millisecond longer.
-const RUNNING: Duration = Duration::from_millis(1);
+const RUNNING_DELAY: Duration = Duration::from_millis(1);
 
 /// What another failure domain adds to that time.
-const FARTHER: Duration = Duration::from_millis(4);
+const REMOTE_DELAY: Duration = Duration::from_millis(4);
 
 /// One endpoint, as far as it matters to a choice.
 #[derive(Debug)]
@@ -56,11 +56,11 @@
     pub(super) models: Vec<ModelId>,
     pub(super) limit: u32,
     pub(super) leaving: bool,
-    pub(super) own: EndpointLimit,
-    others: f64,
+    pub(super) own_limit: EndpointLimit,
+    other_load: f64,
     /// When it last reported.
-    told: Option<Instant>,
-    changes: VecDeque<(Instant, u32)>,
+    last_report: Option<Instant>,
+    own_changes: VecDeque<(Instant, u32)>,
     pub(super) prefill: Prefill,
     /// Set where it was cold of late.
     pub(super) cold: Option<ColdLimit>,
@@ -74,10 +74,10 @@
             models: Vec::new(),
             limit,
             leaving: false,
-            own: EndpointLimit::new(limit),
-            others: 0.0,
-            told: None,
-            changes: VecDeque::new(),
+            own_limit: EndpointLimit::new(limit),
+            other_load: 0.0,
+            last_report: None,
+            own_changes: VecDeque::new(),
             prefill: Prefill::default(),
             cold: None,
         }
@@ -85,12 +85,16 @@
 
     /// Takes in its load report, which counted this router's own requests of that time too.
     pub(super) fn report(&mut self, now: Instant, load: Load) {
-        let own = self.own_at(load.measured);
+        let own = self.own_active_at(load.measured);
         let others = f64::from((load.running + load.waiting).saturating_sub(own));
-        let weight = if self.is_fresh(now) { NEWEST } else { 1.0 };
-        self.others += (others - self.others) * weight;
-        self.told = Some(now);
-        self.own.report(now, load);
+        let weight = if self.has_recent_report(now) {
+            REPORT_WEIGHT
+        } else {
+            1.0
+        };
+        self.other_load += (others - self.other_load) * weight;
+        self.last_report = Some(now);
+        self.own_limit.report(now, load);
     }
 
     /// Takes over until when it is cold, nothing where it is warm, and this router's share of what it bears then.
@@ -102,7 +106,7 @@
     }
 
     /// Returns how long a prompt's first token is expected to take there.
-    pub(super) fn first_token(
+    pub(super) fn first_token_time(
         &self,
         now: Instant,
         prompt: &Prompt,
@@ -111,22 +115,26 @@
     ) -> Duration {
         let prefill = &self.prefill;
         let unread = prefill.unread(now, prompt, home);
-        let again = prefill.time(unread - prompt.own).mul_f64(AGAIN);
-        let running = RUNNING * self.own.active();
-        let way = match self.domain == *domain {
+        let recomputed = prefill.time(unread - prompt.own).mul_f64(RECOMPUTE_FACTOR);
+        let running = RUNNING_DELAY * self.own_limit.active();
+        let remote = match self.domain == *domain {
             true => Duration::ZERO,
-            false => FARTHER,
+            false => REMOTE_DELAY,
         };
-        prefill.wait(now) + prefill.time(prompt.own) + again + running + way
+        prefill.wait(now) + prefill.time(prompt.own) + recomputed + running + remote
     }
 
     pub(super) fn load(&self, now: Instant) -> f64 {
-        let others = if self.is_fresh(now) { self.others } else { 0.0 };
-        others + f64::from(self.own.active())
+        let others = if self.has_recent_report(now) {
+            self.other_load
+        } else {
+            0.0
+        };
+        others + f64::from(self.own_limit.active())
     }
 
-    fn is_fresh(&self, now: Instant) -> bool {
-        self.told.is_some_and(|at| now < at + STALE)
+    fn has_recent_report(&self, now: Instant) -> bool {
+        self.last_report.is_some_and(|at| now < at + REPORT_MAX_AGE)
     }
 
     pub(super) fn is_cold(&self, now: Instant) -> bool {
@@ -141,10 +149,10 @@
         }
         match health {
             Health::Out => false,
-            Health::Trial => self.own.active() == 0,
+            Health::Trial => self.own_limit.active() == 0,
             Health::In => {
                 self.load(now) < f64::from(self.limit)
-                    && (self.own.has_room() || usage == Usage::Light)
+                    && (self.own_limit.has_room() || usage == Usage::Light)
             }
         }
     }
@@ -155,45 +163,45 @@
         now: Instant,
         wish: &Wish<'_>,
         found: Option<&Match>,
-        slow: f64,
+        slowness: f64,
     ) -> f64 {
         let load = (self.load(now) + 1.0) / f64::from(self.limit.max(1));
         let cached = found.map_or(0.0, |m| m.blocks as f64 * m.trust);
-        let missing = (wish.prefix.len() as f64 - cached) / FULL_BLOCKS;
+        let missing = (wish.prefix.len() as f64 - cached) / FULL_LOAD_BLOCKS;
         let remote = if self.domain == *wish.domain {
             0.0
         } else {
-            REMOTE
+            REMOTE_PENALTY
         };
-        (load + missing) * slow + remote
+        (load + missing) * slowness + remote
     }
 
-    pub(super) fn note(&mut self, now: Instant) {
-        self.changes.push_back((now, self.own.active()));
-        let old = now.checked_sub(HISTORY);
-        while self.changes.len() > CHANGES
+    pub(super) fn record_change(&mut self, now: Instant) {
+        self.own_changes.push_back((now, self.own_limit.active()));
+        let old = now.checked_sub(MAX_HISTORY);
+        while self.own_changes.len() > MAX_CHANGES
             || self
-                .changes
+                .own_changes
                 .front()
                 .is_some_and(|(at, _)| old.is_some_and(|old| *at < old))
         {
-            self.changes.pop_front();
+            self.own_changes.pop_front();
         }
     }
 
     /// Returns how many of this router's requests it had then.
-    fn own_at(&self, then: Instant) -> u32 {
-        self.changes
+    fn own_active_at(&self, measured: Instant) -> u32 {
+        self.own_changes
             .iter()
             .rev()
-            .find(|(at, _)| *at <= then)
-            .map_or_else(|| self.own_before(), |(_, own)| *own)
+            .find(|(at, _)| *at <= measured)
+            .map_or_else(|| self.own_active_before(), |(_, own)| *own)
     }
 
     /// Returns the own count before the remembered changes, as far as it can be told.
-    fn own_before(&self) -> u32 {
-        self.changes
+    fn own_active_before(&self) -> u32 {
+        self.own_changes
             .front()
-            .map_or(self.own.active(), |(_, own)| *own)
+            .map_or(self.own_limit.active(), |(_, own)| *own)
     }
 }
