--- a/src/decide/capacity.rs
+++ b/src/decide/capacity.rs
@@ -9,34 +9,37 @@
 use rand::RngExt;
 
 /// How many addresses an answer names at least, if there are so many: a caller tries another one where one fails.
-const LEAST: usize = 3;
+const MIN_ADDRESSES: usize = 3;
 
 /// What a VM can carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
     /// Its processor, in thousandths of a core.
-    pub cpu: u32,
+    pub cpu_millicores: u32,
     /// Its link, in Mbit/s.
-    pub link: u32,
+    pub link_mbps: u32,
 }
 
 impl Capacity {
     /// Returns the largest processor and the largest link of several.
-    pub(crate) fn most<I>(of: I) -> Self
+    pub(crate) fn max_of<I>(capacities: I) -> Self
     where
         I: IntoIterator<Item = Self>,
     {
-        let none = Self { cpu: 1, link: 1 };
-        of.into_iter().fold(none, |most, one| Self {
-            cpu: most.cpu.max(one.cpu),
-            link: most.link.max(one.link),
+        let smallest = Self {
+            cpu_millicores: 1,
+            link_mbps: 1,
+        };
+        capacities.into_iter().fold(smallest, |max, one| Self {
+            cpu_millicores: max.cpu_millicores.max(one.cpu_millicores),
+            link_mbps: max.link_mbps.max(one.link_mbps),
         })
     }
 
     /// Returns how large it is against the largest processor and link, up to 1.
-    pub(crate) fn part(self, most: Self) -> f64 {
-        let cpu = f64::from(self.cpu) / f64::from(most.cpu.max(1));
-        let link = f64::from(self.link) / f64::from(most.link.max(1));
+    pub(crate) fn share_of(self, max: Self) -> f64 {
+        let cpu = f64::from(self.cpu_millicores) / f64::from(max.cpu_millicores.max(1));
+        let link = f64::from(self.link_mbps) / f64::from(max.link_mbps.max(1));
         cpu.min(link)
     }
 }
@@ -46,14 +49,17 @@
 where
     R: Rng,
 {
-    let most = Capacity::most(from.iter().map(|(of, _)| *of));
-    let mut parts: Vec<_> = from.iter().map(|(of, _)| of.part(most)).collect();
-    parts.sort_by(|a, b| b.total_cmp(a));
+    let max = Capacity::max_of(from.iter().map(|(capacity, _)| *capacity));
+    let mut shares: Vec<_> = from
+        .iter()
+        .map(|(capacity, _)| capacity.share_of(max))
+        .collect();
+    shares.sort_by(|a, b| b.total_cmp(a));
     // The largest few are always named.
-    let sure = parts.get(LEAST - 1).copied().unwrap_or(0.0);
-    let drawn = from.into_iter().filter(|(of, _)| {
-        let part = of.part(most);
-        part >= sure || rng.random_bool(part)
+    let min_share = shares.get(MIN_ADDRESSES - 1).copied().unwrap_or(0.0);
+    let drawn = from.into_iter().filter(|(capacity, _)| {
+        let share = capacity.share_of(max);
+        share >= min_share || rng.random_bool(share)
     });
-    drawn.map(|(_, what)| what).collect()
+    drawn.map(|(_, item)| item).collect()
 }
--- a/src/decide/owners.rs
+++ b/src/decide/owners.rs
@@ -46,12 +46,12 @@
         if routers.len() <= OWNERS {
             return Self::default();
         }
-        let most = Capacity::most(routers.iter().map(|router| router.capacity));
+        let most = Capacity::max_of(routers.iter().map(|router| router.capacity));
         routers.sort_by_cached_key(|router| {
             let luck = fraction(xxh3_64(router.vm.as_str().as_bytes()));
             // The largest of such numbers is each one's as often as its weight says. Lending comes on top of what callers
             // ask of a VM by its size, so that a VM of half the size is an owner a quarter as often.
-            let weight = router.capacity.part(most).powi(2);
+            let weight = router.capacity.share_of(most).powi(2);
             let order = weight.max(f64::MIN_POSITIVE) / -luck.ln();
             (Reverse(order.to_bits()), router.vm.clone())
         });
--- a/src/router/roster.rs
+++ b/src/router/roster.rs
@@ -30,7 +30,10 @@
 pub(crate) const LINK: &str = "link";
 
 /// What a VM that does not tell its size is thought to have.
-const UNSAID: Capacity = Capacity { cpu: 1, link: 1 };
+const UNSAID: Capacity = Capacity {
+    cpu_millicores: 1,
+    link_mbps: 1,
+};
 
 /// The VM list as one router sees it.
 #[derive(Debug)]
@@ -125,8 +128,8 @@
 fn capacity(entry: &VmEntry) -> Capacity {
     let label = |name| entry.labels.get(name)?.parse().ok();
     Capacity {
-        cpu: label(CPU).unwrap_or(UNSAID.cpu),
-        link: label(LINK).unwrap_or(UNSAID.link),
+        cpu_millicores: label(CPU).unwrap_or(UNSAID.cpu_millicores),
+        link_mbps: label(LINK).unwrap_or(UNSAID.link_mbps),
     }
 }
 
--- a/tests/decisions/capacity.rs
+++ b/tests/decisions/capacity.rs
@@ -7,11 +7,14 @@
 use crate::rng;
 
 const LARGE: Capacity = Capacity {
-    cpu: 500,
-    link: 200,
+    cpu_millicores: 500,
+    link_mbps: 200,
 };
 
-const SMALL: Capacity = Capacity { cpu: 120, link: 10 };
+const SMALL: Capacity = Capacity {
+    cpu_millicores: 120,
+    link_mbps: 10,
+};
 
 /// Returns how many of ten thousand callers, who pick one of the addresses told at random, go to each VM.
 fn callers(vms: &[Capacity]) -> Vec<u32> {
--- a/tests/decisions/owners.rs
+++ b/tests/decisions/owners.rs
@@ -17,10 +17,13 @@
         domain: name(&format!("domain-{}", n % 5)),
         capacity: match n % 8 {
             0 => Capacity {
-                cpu: 500,
-                link: 200,
+                cpu_millicores: 500,
+                link_mbps: 200,
+            },
+            _ => Capacity {
+                cpu_millicores: 120,
+                link_mbps: 20,
             },
-            _ => Capacity { cpu: 120, link: 20 },
         },
     });
     routers.collect()
@@ -53,7 +56,7 @@
     }
     let large = all.iter().filter(|vm| {
         let router = routers.iter().find(|router| router.vm == **vm);
-        router.is_some_and(|router| router.capacity.cpu == 500)
+        router.is_some_and(|router| router.capacity.cpu_millicores == 500)
     });
     let large = large.count();
     println!("{} owners, {large} of them large", all.len());
