--- a/src/decide/call_times.rs
+++ b/src/decide/call_times.rs
@@ -7,28 +7,28 @@
 use std::time::Duration;
 
 /// How many round trips an answer may take.
-const ROUNDS: u32 = 2;
+const MAX_ROUND_TRIPS: u32 = 2;
 
 /// The longest limit, unless the answer usually may take longer.
-const LONGEST: Duration = Duration::from_millis(2000);
+const MAX_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// What part of the longest round trip is still expected after a shorter one.
-const DECAY: f64 = 0.5;
+const ROUND_TRIP_DECAY: f64 = 0.5;
 
 /// What is known of the round trips to a service.
 #[derive(Debug, Default)]
 pub struct CallTimes {
-    round: Duration,
+    round_trip: Duration,
 }
 
 impl CallTimes {
     /// Takes in how long a connection took to open, or an answer that was not held open.
     pub fn sample(&mut self, took: Duration) {
-        self.round = took.max(self.round.mul_f64(DECAY));
+        self.round_trip = took.max(self.round_trip.mul_f64(ROUND_TRIP_DECAY));
     }
 
     /// Returns how long an answer may take that usually comes within a time.
-    pub fn limit(&self, usual: Duration) -> Duration {
-        (self.round * ROUNDS).clamp(usual, LONGEST.max(usual))
+    pub fn timeout(&self, usual: Duration) -> Duration {
+        (self.round_trip * MAX_ROUND_TRIPS).clamp(usual, MAX_TIMEOUT.max(usual))
     }
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -233,7 +233,7 @@
 
     /// Returns how long an answer may take from here that comes within a usual time elsewhere.
     fn limit(&self, usual: Duration) -> Duration {
-        lock(&self.times).limit(usual)
+        lock(&self.times).timeout(usual)
     }
 }
 
--- a/tests/decisions/call_times.rs
+++ b/tests/decisions/call_times.rs
@@ -8,9 +8,9 @@
 #[test]
 fn an_answer_may_take_longer_where_connections_do() {
     let mut times = CallTimes::default();
-    assert_eq!(times.limit(ms(500)), ms(500));
+    assert_eq!(times.timeout(ms(500)), ms(500));
     times.sample(ms(700));
-    assert_eq!(times.limit(ms(500)), ms(1400));
+    assert_eq!(times.timeout(ms(500)), ms(1400));
 }
 
 /// Guards against a router that takes seconds to notice that the store is away.
@@ -18,7 +18,7 @@
 fn an_answer_may_not_take_ever_longer() {
     let mut times = CallTimes::default();
     times.sample(ms(30_000));
-    assert_eq!(times.limit(ms(500)), ms(2000));
+    assert_eq!(times.timeout(ms(500)), ms(2000));
 }
 
 /// Guards against a limit that a burst has raised for good.
@@ -27,5 +27,5 @@
     let mut times = CallTimes::default();
     times.sample(ms(900));
     (0..10).for_each(|_| times.sample(ms(4)));
-    assert_eq!(times.limit(ms(500)), ms(500));
+    assert_eq!(times.timeout(ms(500)), ms(500));
 }
