--- a/src/decide/hasher.rs
+++ b/src/decide/hasher.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// An odd number with bits all over: 2^64 over the golden ratio.
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Hashes names of VMs, hashes and small numbers.
 #[derive(Clone, Copy, Debug, Default)]
@@ -29,6 +29,6 @@
 
     fn write_u64(&mut self, number: u64) {
         // Spread over all bits: the table looks at the top ones too.
-        self.0 = (self.0 ^ number).wrapping_mul(SPREAD);
+        self.0 = (self.0 ^ number).wrapping_mul(MULTIPLIER);
     }
 }
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -19,7 +19,7 @@
 use thiserror::Error;
 
 use crate::decide::drain::Drain;
-use crate::decide::recent::Recent;
+use crate::decide::recent::RecentUsage;
 use crate::decide::recent::Usage;
 use crate::ids::AccountId;
 use crate::ids::TeamId;
@@ -141,7 +141,7 @@
     accounts: IndexMap<AccountId, Flow>,
     /// Given up on to make room.
     displaced: Vec<T>,
-    recent: Recent,
+    recent: RecentUsage,
     /// The virtual time: that of the last one served.
     virtual_time: f64,
     last_sweep: Option<Instant>,
@@ -161,7 +161,7 @@
             teams: IndexMap::new(),
             accounts: IndexMap::new(),
             displaced: Vec::new(),
-            recent: Recent::default(),
+            recent: RecentUsage::default(),
             virtual_time: 0.0,
             last_sweep: None,
             drain: Drain::default(),
--- a/src/decide/recent.rs
+++ b/src/decide/recent.rs
@@ -7,7 +7,7 @@
 use crate::ids::AccountId;
 
 /// The time over which an account's use counts, in seconds: a few answers.
-const RECENT: f64 = 10.0;
+const DECAY_TIME_S: f64 = 10.0;
 
 /// How much of the endpoints an account had lately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,19 +20,19 @@
 
 /// What accounts were served lately.
 #[derive(Debug, Default)]
-pub(super) struct Recent {
+pub(super) struct RecentUsage {
     accounts: IndexMap<AccountId, (f64, Option<Instant>)>,
-    all: f64,
-    at: Option<Instant>,
+    total: f64,
+    updated: Option<Instant>,
 }
 
-impl Recent {
+impl RecentUsage {
     pub(super) fn charge(&mut self, now: Instant, account: &AccountId, cost: f64) {
-        let (mine, at) = self.accounts.entry(account.clone()).or_default();
-        *mine = decayed(*mine, *at, now) + cost;
+        let (own, at) = self.accounts.entry(account.clone()).or_default();
+        *own = decayed(*own, *at, now) + cost;
         *at = Some(now);
-        self.all = decayed(self.all, self.at, now) + cost;
-        self.at = Some(now);
+        self.total = decayed(self.total, self.updated, now) + cost;
+        self.updated = Some(now);
     }
 
     pub(super) fn sweep(&mut self, now: Instant) {
@@ -41,12 +41,12 @@
     }
 
     pub(super) fn usage(&self, now: Instant, account: &AccountId) -> Usage {
-        let mine = self
+        let own = self
             .accounts
             .get(account)
             .map_or(0.0, |(cost, at)| decayed(*cost, *at, now));
-        let all = decayed(self.all, self.at, now);
-        match mine * 2.0 * self.accounts.len() as f64 <= all {
+        let total = decayed(self.total, self.updated, now);
+        match own * 2.0 * self.accounts.len() as f64 <= total {
             true => Usage::Light,
             false => Usage::Heavy,
         }
@@ -55,5 +55,5 @@
 
 fn decayed(cost: f64, at: Option<Instant>, now: Instant) -> f64 {
     let passed = at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-    cost * (-passed / RECENT).exp()
+    cost * (-passed / DECAY_TIME_S).exp()
 }
