--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -120,7 +120,7 @@
 /// A team's or an account's part: its virtual time, and what it has waiting.
 #[derive(Clone, Debug, Default)]
 struct Flow {
-    virtual_time: f64,
+    vtime: f64,
     count: usize,
     cost: u64,
 }
@@ -143,7 +143,7 @@
     displaced: Vec<T>,
     recent: RecentUsage,
     /// The virtual time: that of the last one served.
-    virtual_time: f64,
+    vtime: f64,
     last_sweep: Option<Instant>,
     drain: Drain,
     deferred: DeferredWork,
@@ -162,7 +162,7 @@
             accounts: IndexMap::new(),
             displaced: Vec::new(),
             recent: RecentUsage::default(),
-            virtual_time: 0.0,
+            vtime: 0.0,
             last_sweep: None,
             drain: Drain::default(),
             deferred: DeferredWork::default(),
@@ -324,9 +324,9 @@
         self.deadlines.insert((ticket.deadline, id));
         // Whoever had nothing waiting starts at the present: idle time earns no right to all of the endpoints later.
         let account = self.accounts.entry(ticket.account.clone()).or_default();
-        account.add(self.virtual_time, &ticket);
+        account.add(self.vtime, &ticket);
         let team = self.teams.entry(ticket.team.clone()).or_default();
-        team.flow.add(self.virtual_time, &ticket);
+        team.flow.add(self.vtime, &ticket);
         team.queues[level(ticket.priority)]
             .entry(ticket.account.clone())
             .or_default()
@@ -366,7 +366,7 @@
         if self.is_empty() {
             self.teams.clear();
             self.accounts.clear();
-            self.virtual_time = 0.0;
+            self.vtime = 0.0;
         }
         if self
             .last_sweep
@@ -375,8 +375,8 @@
             return;
         }
         self.last_sweep = Some(now);
-        let virtual_time = self.virtual_time;
-        let is_kept = |flow: &Flow| flow.count > 0 || flow.virtual_time > virtual_time;
+        let vtime = self.vtime;
+        let is_kept = |flow: &Flow| flow.count > 0 || flow.vtime > vtime;
         self.teams.retain(|_, team| is_kept(&team.flow));
         self.accounts.retain(|_, flow| is_kept(flow));
         self.recent.sweep(now);
@@ -397,7 +397,7 @@
     {
         let bounds = self.teams.values().enumerate();
         let mut turns: BinaryHeap<_> = bounds
-            .map(|(index, team)| Reverse((team.flow.virtual_time.to_bits(), index, None)))
+            .map(|(index, team)| Reverse((team.flow.vtime.to_bits(), index, None)))
             .collect();
         let mut misses_left = MAX_MISSES;
         while misses_left > 0
@@ -409,13 +409,9 @@
                 Some(_) => misses_left -= 1,
                 None => {
                     let front = team.front(&self.accounts);
-                    turns.extend(front.map(|(id, virtual_time)| {
+                    turns.extend(front.map(|(id, vtime)| {
                         // Passes are never negative, so that their bits are in their order.
-                        Reverse((
-                            virtual_time.max(team.flow.virtual_time).to_bits(),
-                            index,
-                            Some(id),
-                        ))
+                        Reverse((vtime.max(team.flow.vtime).to_bits(), index, Some(id)))
                     }));
                 }
             }
@@ -429,15 +425,11 @@
         self.recent.charge(now, &ticket.account, cost);
         let account = self.accounts.entry(ticket.account.clone()).or_default();
         let team = self.teams.entry(ticket.team.clone()).or_default();
-        self.virtual_time = self.virtual_time.max(
-            account
-                .virtual_time
-                .max(team.flow.virtual_time)
-                .min(self.virtual_time + cost),
-        );
-        account.virtual_time =
-            account.virtual_time.max(self.virtual_time) + cost / f64::from(ticket.weight.max(1));
-        team.flow.virtual_time = team.flow.virtual_time.max(self.virtual_time) + cost;
+        self.vtime = self
+            .vtime
+            .max(account.vtime.max(team.flow.vtime).min(self.vtime + cost));
+        account.vtime = account.vtime.max(self.vtime) + cost / f64::from(ticket.weight.max(1));
+        team.flow.vtime = team.flow.vtime.max(self.vtime) + cost;
     }
 }
 
@@ -447,7 +439,7 @@
         let queue = self.queues.iter().find(|queue| !queue.is_empty())?;
         queue
             .iter()
-            .filter_map(|(account, ids)| Some((*ids.front()?, accounts.get(account)?.virtual_time)))
+            .filter_map(|(account, ids)| Some((*ids.front()?, accounts.get(account)?.vtime)))
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
@@ -467,9 +459,9 @@
 }
 
 impl Flow {
-    fn add(&mut self, virtual_time: f64, ticket: &QueueTicket) {
+    fn add(&mut self, vtime: f64, ticket: &QueueTicket) {
         if self.count == 0 {
-            self.virtual_time = self.virtual_time.max(virtual_time);
+            self.vtime = self.vtime.max(vtime);
         }
         self.count += 1;
         self.cost += ticket.cost.0;
