--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -45,9 +45,9 @@
 /// and a longer one is no sign of overload by itself.
 const SLOW_FACTOR: f64 = 8.0;
 
-/// How fast the best time is forgotten: by a tenth in a thousand samples, so that one lucky start does not count for
-/// ever.
-const BEST_DECAY: f64 = 1.0001;
+/// The growth of the best time at each sample: by a tenth in a thousand samples, so that one unusually fast answer does
+/// not count for ever.
+const BEST_GROWTH: f64 = 1.0001;
 
 /// The weight of the newest sample in the average time.
 const EWMA_WEIGHT: f64 = 0.1;
@@ -193,7 +193,7 @@
 
     fn record_latency(&mut self, now: Instant, time: f64) {
         self.answered = true;
-        self.best_latency = (self.best_latency * BEST_DECAY).min(time);
+        self.best_latency = (self.best_latency * BEST_GROWTH).min(time);
         self.mean_latency = match self.mean_latency {
             0.0 => time,
             mean => mean + (time - mean) * EWMA_WEIGHT,
