--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -139,8 +139,8 @@
     deadlines: BTreeSet<(Instant, WaitingId)>,
     teams: IndexMap<TeamId, Team>,
     accounts: IndexMap<AccountId, Flow>,
-    /// Given up on to make room.
-    displaced: Vec<T>,
+    /// Evicted to make room.
+    evicted: Vec<T>,
     recent: RecentUsage,
     /// The virtual time: that of the last one served.
     vtime: f64,
@@ -160,7 +160,7 @@
             deadlines: BTreeSet::new(),
             teams: IndexMap::new(),
             accounts: IndexMap::new(),
-            displaced: Vec::new(),
+            evicted: Vec::new(),
             recent: RecentUsage::default(),
             vtime: 0.0,
             last_sweep: None,
@@ -245,7 +245,7 @@
 
     /// Takes out those that are given up on: past their deadlines, or displaced by an account that has less waiting.
     pub fn take_expired(&mut self, now: Instant) -> Vec<T> {
-        let mut expired = std::mem::take(&mut self.displaced);
+        let mut expired = std::mem::take(&mut self.evicted);
         while let Some((deadline, id)) = self.deadlines.first().copied()
             && deadline <= now
         {
@@ -314,7 +314,7 @@
         let Some(waiting) = newest.and_then(|id| self.remove(id)) else {
             return false;
         };
-        self.displaced.push(waiting.item);
+        self.evicted.push(waiting.item);
         true
     }
 
