--- a/src/decide/capacity.rs
+++ b/src/decide/capacity.rs
@@ -1,27 +1,28 @@
-//! Which addresses callers are told, where VMs are of unequal size.
+//! Selects the addresses to advertise to callers where VMs differ in size.
 //!
-//! Answers a fleet of a few large VMs and many small ones whose callers pick one of the addresses that they are told at
-//! random. Told all of them, callers send a VM with a link of 10 Mbit/s as much as one with 200; a few callers with long
-//! prompts fill such a link, and all that goes through it is late. Here an answer names each VM as often as it is large,
-//! measured by the scarcer of processor and link; over many answers, callers spread by size.
+//! Handles a fleet of a few large and many small VMs, whose callers pick one of the advertised addresses at random. If
+//! all addresses were advertised, callers would send as much to a VM with a link of 10 Mbit/s as to one with 200; a few
+//! callers with long prompts saturate such a link, and delay everything that passes through it. Instead each answer
+//! names a VM with a probability proportional to its size, measured by the scarcer of CPU and link. Over many answers,
+//! callers are spread by size.
 
 use rand::Rng;
 use rand::RngExt;
 
-/// How many addresses an answer names at least, if there are so many: a caller tries another one where one fails.
+/// The fewest addresses in an answer, if there are so many: a caller tries another one if one fails.
 const MIN_ADDRESSES: usize = 3;
 
-/// What a VM can carry.
+/// The CPU and link capacity of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Its processor, in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Its link, in Mbit/s.
+    /// Link capacity in Mbit/s.
     pub link_mbps: u32,
 }
 
 impl Capacity {
-    /// Returns the largest processor and the largest link of several.
+    /// Returns the largest CPU and the largest link of several.
     pub(crate) fn max_of<I>(capacities: I) -> Self
     where
         I: IntoIterator<Item = Self>,
@@ -36,7 +37,7 @@
         })
     }
 
-    /// Returns how large it is against the largest processor and link, up to 1.
+    /// Returns its size relative to the largest CPU and link, up to 1.
     pub(crate) fn share_of(self, max: Self) -> f64 {
         let cpu = f64::from(self.cpu_millicores) / f64::from(max.cpu_millicores.max(1));
         let link = f64::from(self.link_mbps) / f64::from(max.link_mbps.max(1));
@@ -44,7 +45,7 @@
     }
 }
 
-/// Draws those of several that an answer names, each as often as it is large. The order stays.
+/// Selects the VMs that an answer names, each with a probability proportional to its size. Keeps their order.
 pub fn draw_by_capacity<T, R>(from: Vec<(Capacity, T)>, rng: &mut R) -> Vec<T>
 where
     R: Rng,
@@ -55,7 +56,7 @@
         .map(|(capacity, _)| capacity.share_of(max))
         .collect();
     shares.sort_by(|a, b| b.total_cmp(a));
-    // The largest few are always named.
+    // The largest VMs are always named.
     let min_share = shares.get(MIN_ADDRESSES - 1).copied().unwrap_or(0.0);
     let drawn = from.into_iter().filter(|(capacity, _)| {
         let share = capacity.share_of(max);
--- a/src/decide/cold.rs
+++ b/src/decide/cold.rs
@@ -1,10 +1,11 @@
-//! How many requests a cold endpoint gets.
+//! Limits the requests to a cold endpoint.
 //!
-//! Answers a failure domain whose endpoints all come back at once: they are idle, so that each router by itself finds them the
-//! best choice, and together the routers send a cold endpoint far more than it bears. It crashes, comes back cold, and is
-//! idle again. Routers can't count each other's requests, so each cold endpoint belongs to a few of them, picked by rendezvous
-//! hash, and each of these sends it a fixed number a second. A share for each router of a large fleet would be less than one
-//! request, and a burst that reaches all routers would take all shares at once.
+//! Handles a failure domain whose endpoints all restart at once: they are idle, so each router chooses them first, and
+//! together the routers send a cold endpoint far more than it can take. It crashes, restarts cold, and is idle again.
+//! Routers cannot count each other's requests, so each cold endpoint is assigned to a few of them by rendezvous
+//! hashing, and each of these may send it a fixed number of requests a second. Dividing the rate among all routers of a
+//! large fleet would leave each less than one request, and a burst that reaches all routers would use all shares at
+//! once.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -15,20 +16,20 @@
 
 use crate::ids::VmId;
 
-/// The time that an endpoint's rate counts for.
+/// The period that an endpoint's rate refers to.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// An endpoint that is cold, and what this router may send it.
+/// One router's limit on the requests to a cold endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct ColdLimit {
     until: Instant,
-    /// The most that this router may send it in any second.
+    /// The most requests that this router may send in any second.
     share: u32,
     sent: VecDeque<Instant>,
 }
 
 impl ColdLimit {
-    /// Makes one for an endpoint that is cold until a time.
+    /// Creates the limit for an endpoint that is cold until the given time.
     pub(crate) fn new(until: Instant, share: u32) -> Self {
         Self {
             until,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Takes over until when the endpoint is cold, and the router's share of its rate.
+    /// Sets until when the endpoint is cold, and this router's share of its rate.
     pub(crate) fn update(&mut self, until: Instant, share: u32) {
         self.until = until;
         self.share = share;
@@ -48,7 +49,7 @@
         now < self.until
     }
 
-    /// Returns whether this router may send it one more.
+    /// Returns whether this router may send one more request.
     pub(crate) fn admits(&self, now: Instant) -> bool {
         let recent = self
             .sent
@@ -58,7 +59,7 @@
         (recent as u64) < u64::from(self.share)
     }
 
-    /// Counts a request that is sent to it.
+    /// Counts a request that was sent.
     pub(crate) fn record_send(&mut self, now: Instant) {
         while self.sent.front().is_some_and(|at| now >= *at + RATE_WINDOW) {
             self.sent.pop_front();
@@ -67,7 +68,8 @@
     }
 }
 
-/// Returns how many requests a second a router may send a cold endpoint that bears a rate from all of them together.
+/// Returns how many requests a second a router may send to a cold endpoint, given the rate that it can take from all
+/// routers together.
 pub fn cold_share(rate: u32, routers: &[VmId], router: &VmId, endpoint: &VmId) -> u32 {
     let rate = rate.max(1);
     let count = u32::try_from(routers.len()).unwrap_or(u32::MAX);
@@ -80,7 +82,7 @@
     u32::from(before.count() < rate as usize)
 }
 
-/// Returns where a router stands among those that may send to an endpoint; the least is first.
+/// Returns a router's rank among those that may send to an endpoint, lowest first.
 fn rank(seed: u64, vm: &VmId) -> (Reverse<u64>, &VmId) {
     (Reverse(xxh3_64_with_seed(vm.as_str().as_bytes(), seed)), vm)
 }
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -1,65 +1,66 @@
-//! How many requests a router lets one endpoint run at once.
+//! An adaptive limit on the requests that a router has in progress at one endpoint.
 //!
-//! Answers an endpoint that can do less than its setting says: long prompts, a cache under pressure, a slow machine,
-//! other routers' work. What a router sends beyond that waits in the endpoint's own queue, where priorities, deadlines
-//! and fairness of the router no longer reach it, and where the time to the first token grows for all. Each load report
-//! moves the limit towards what fills the endpoint without a queue; without reports it grows by a step while requests
-//! start well and shrinks by a factor when the first token takes far longer than the best that was seen.
+//! Handles an endpoint that can do less than its setting says because of long prompts, cache pressure, a slow machine
+//! or the work of other routers. Requests beyond its capacity wait in the endpoint's own queue, out of reach of the
+//! router's priorities, deadlines and fair queueing, and increase the time to the first token for all. Each load report
+//! moves the limit towards the value that fills the endpoint without a queue. Without reports the limit grows by a step
+//! while first tokens arrive promptly, and shrinks by a factor when they take far longer than the best time seen.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::decide::choose::Load;
 
-/// The part of the setting that a router begins with. Several routers share an endpoint, and what was sent too much waits
-/// there until it is worked off: beginning at a quarter cost a tenth of the goodput of a burst, beginning at all of it
-/// half a minute.
+/// The initial limit as a share of the setting. Several routers share an endpoint, and excess requests wait there until
+/// they are worked off: starting at a quarter cost a tenth of the goodput of a burst, and starting at the whole setting
+/// cost half a minute.
 const INITIAL_SHARE: f64 = 0.125;
 
-/// The least that it begins at, if the setting allows it.
+/// The smallest initial limit, if the setting allows it.
 const MIN_INITIAL: f64 = 4.0;
 
-/// How far one report moves the limit, of the way to what would fit. A report is a second or so old, and all routers
-/// follow the same one: above a half they swing, below a fifth a burst is over before they have followed.
+/// How far one report moves the limit towards the value that fits. A report is about a second old, and all routers
+/// follow the same one: above a half the limits oscillate, and below a fifth a burst is over before they have adapted.
 const REPORT_GAIN: f64 = 0.4;
 
-/// The most that the limit may be thought too low: an endpoint with room does not say how much more it could do.
+/// The upper bound of the ratio of capacity to load in a report: an endpoint with room does not report how much more it
+/// could do.
 const MAX_RATIO: f64 = 1.25;
 
-/// The most that it may be thought too high: what waits there is being worked off, and tells little of what will fit.
+/// The lower bound of that ratio: the waiting requests are being worked off, and say little about what will fit.
 const MIN_RATIO: f64 = 0.5;
 
-/// How many more are tried at an endpoint that is full without a queue.
+/// How many additional slots to assume at an endpoint that is full without a queue.
 const PROBE_STEP: f64 = 0.5;
 
-/// After so long without a report answers alone decide: a plain service sends none.
+/// How long after the last report only answers move the limit; a plain service sends no reports.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What remains of the limit when answers are slow.
+/// The factor by which slow answers lower the limit.
 const BACKOFF_FACTOR: f64 = 0.85;
 
-/// How often it steps back for that at most: the next answers are of requests that were sent before.
+/// The shortest time between two reductions: the answers that arrive next are to requests sent before the reduction.
 const BACKOFF_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How many times the best time to the first token is too long. Prompts of one model differ by an order of magnitude,
-/// and a longer one is no sign of overload by itself.
+/// The multiple of the best time to the first token that counts as too slow. Prompts of one model differ by an order of
+/// magnitude, and a long one alone is no sign of overload.
 const SLOW_FACTOR: f64 = 8.0;
 
 /// The growth of the best time at each sample: by a tenth in a thousand samples, so that one unusually fast answer does
 /// not count for ever.
 const BEST_GROWTH: f64 = 1.0001;
 
-/// The weight of the newest sample in the average time.
+/// The weight of the newest sample in the mean time.
 const EWMA_WEIGHT: f64 = 0.1;
 
 /// How a request at the endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sample {
-    /// It was answered; the first token came after this time.
+    /// It was answered, and the first token arrived after this time.
     Answered(Duration),
-    /// The endpoint refused it as too much.
+    /// The endpoint refused it because of overload.
     Refused,
-    /// It ended in a way that tells nothing of the load.
+    /// It ended in a way that says nothing about the load.
     Other,
 }
 
@@ -69,16 +70,16 @@
     max: f64,
     limit: f64,
     active: u32,
-    /// Whether the limit stays what the pool's setting says.
+    /// Whether the limit stays at the pool's setting.
     fixed: bool,
-    /// The rest of limits that are no whole numbers: at 2.7, three are allowed seven times in ten.
+    /// The accumulated fractions of the limit: at 2.7, three requests are allowed seven times in ten.
     credit: f64,
-    /// How many the endpoint runs at once, known once it had some waiting.
+    /// How many requests the endpoint runs at once, known once some were waiting there.
     slots: Option<f64>,
-    /// Whether the limit was reached, and anything answered, since the last report.
+    /// Whether, since the last report, the limit was reached, and any request was answered.
     limit_reached: bool,
     answered: bool,
-    /// Whether it was ever too high.
+    /// Whether the limit was ever too high.
     overshot: bool,
     last_report: Option<Instant>,
     last_backoff: Option<Instant>,
@@ -87,7 +88,7 @@
 }
 
 impl EndpointLimit {
-    /// Makes a limit that never exceeds what the pool's setting allows, and begins far below it.
+    /// Creates a limit that never exceeds the pool's setting and starts far below it.
     pub fn new(max: u32) -> Self {
         let max = f64::from(max.max(1));
         Self {
@@ -107,26 +108,26 @@
         }
     }
 
-    /// Keeps the limit at what the pool's setting says.
+    /// Keeps the limit at the pool's setting.
     ///
-    /// Where prompts differ by three orders of magnitude the time to the first token tells of the prompt, not of the load,
-    /// and a limit that follows it would shrink to nothing on an idle endpoint.
+    /// Where prompts differ by three orders of magnitude the time to the first token depends on the prompt rather than
+    /// on the load, and an adaptive limit would shrink to nothing at an idle endpoint.
     pub fn fix(&mut self) {
         self.fixed = true;
         self.limit = self.max;
     }
 
-    /// Returns how many may be in progress now.
+    /// Returns how many requests may be in progress.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Returns how many are in progress.
+    /// Returns the number of requests in progress.
     pub fn active(&self) -> u32 {
         self.active
     }
 
-    /// Takes over a changed setting.
+    /// Applies a changed setting.
     pub fn set_max(&mut self, max: u32) {
         self.max = f64::from(max.max(1));
         self.limit = match self.fixed {
@@ -135,12 +136,12 @@
         };
     }
 
-    /// Returns whether one more may start.
+    /// Returns whether one more request may start.
     pub fn has_room(&self) -> bool {
         self.active < self.limit() + u32::from(self.credit >= 1.0)
     }
 
-    /// Counts one more, and tells whether it keeps to the limit. One that does not counts too.
+    /// Counts a request, and returns whether it is within the limit. It is counted even if it is not.
     pub fn try_acquire(&mut self) -> bool {
         let room = self.has_room();
         self.active += 1;
@@ -148,7 +149,7 @@
         room
     }
 
-    /// Counts one less, and learns from how it went.
+    /// Ends a request, and adapts the limit to how it ended.
     pub fn release(&mut self, now: Instant, sample: Sample) {
         self.credit = self.credit.fract() + self.limit.fract();
         self.active = self.active.saturating_sub(1);
@@ -162,12 +163,12 @@
         }
     }
 
-    /// Takes in the endpoint's load report.
+    /// Adapts the limit to the endpoint's load report.
     pub fn report(&mut self, now: Instant, load: Load) {
         let ratio = self.capacity_ratio(load);
         self.overshot |= ratio < 1.0;
-        // A limit that is not reached is not known to be good. Nor is one while nothing is answered: an endpoint that is
-        // down reports, or is thought, to be idle, and would be flooded when it is back.
+        // A limit that was not reached is not known to be adequate. Nor is one while nothing is answered: an endpoint
+        // that is down reports or seems to be idle, and would be flooded when it is up again.
         if ratio < 1.0 || self.limit_reached && self.answered {
             let factor = 1.0 + (ratio - 1.0) * REPORT_GAIN;
             self.limit = (self.limit * factor).clamp(1.0, self.max);
@@ -177,13 +178,13 @@
         self.answered = false;
     }
 
-    /// Returns what would fill the endpoint, of what it has.
+    /// Returns the ratio of the endpoint's capacity to its load.
     fn capacity_ratio(&mut self, load: Load) -> f64 {
         let running = f64::from(load.running);
         let total = running + f64::from(load.waiting);
         match self.slots {
             _ if load.waiting > 0 => self.slots = Some(running),
-            // A full batch with nothing waiting may be one that could be larger.
+            // A full batch with nothing waiting may have room to grow.
             Some(slots) if running >= slots => self.slots = Some(running + PROBE_STEP),
             _ => (),
         }
@@ -205,8 +206,8 @@
         }
     }
 
-    /// Grows, where no reports say better: by one for each answer until it was once too high, and by one for each round
-    /// of answers from then on.
+    /// Raises the limit if there are no recent reports: by one for each answer until the limit was too high once, and
+    /// from then on by one for each round of answers.
     fn grow(&mut self, now: Instant) {
         if self.last_report.is_some_and(|at| now < at + REPORT_TIMEOUT) {
             return;
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -1,5 +1,5 @@
-//! One endpoint as a router sees it: what it has in progress there, what others are thought to have, and how soon it would
-//! answer.
+//! A router's view of one endpoint: its own requests there, the estimated requests of other routers, and the expected
+//! time to the first token.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,39 +17,40 @@
 use crate::ids::DomainId;
 use crate::ids::ModelId;
 
-/// The weight of the newest report in what others are thought to run. All routers get the same report; those that take it
-/// at its word go to the same endpoint until the next one.
+/// The weight of the newest report in the estimate of other routers' load. All routers get the same report, and routers
+/// that rely on it alone all choose the same endpoint until the next one.
 const REPORT_WEIGHT: f64 = 0.1;
 
-/// After so long a report counts no more. An endpoint that was full when its reports ceased would get nothing ever after,
-/// though it may be idle; its own answers tell how it is.
+/// The age at which a report is disregarded. An endpoint that was full when its reports stopped would otherwise get no
+/// more requests, though it may be idle; its answers show its state.
 const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 
-/// How many blocks to compute count as much as a full endpoint. At 16 tokens a block and a prefill of 10,000 tokens a
+/// How many uncached blocks count as much as a full endpoint. At 16 tokens a block and a prefill of 10,000 tokens a
 /// second these take 0.4 s, about what a full batch adds to the time to the first token.
 const FULL_LOAD_BLOCKS: f64 = 256.0;
 
-/// What another failure domain counts, of a full endpoint: a millisecond or two on each token's way.
+/// The penalty of an endpoint in another failure domain, as a share of a full endpoint: each token takes a millisecond
+/// or two longer.
 const REMOTE_PENALTY: f64 = 0.05;
 
-/// How long ago a load report may have been measured for the correction by own requests to be exact.
+/// The age of a load report up to which the correction by the router's own requests is exact.
 const MAX_HISTORY: Duration = Duration::from_secs(5);
 
-/// How many changes of the own count are remembered for each endpoint.
+/// How many changes in the number of own requests are kept for each endpoint.
 const MAX_CHANGES: usize = 64;
 
-/// How much more than its own time a shared part counts where it would be read again: that delays all prompts that come
-/// after it, and pushes another part out. Without this a part that many ask for is read by one engine after the other.
+/// The weight of the prefill time of a shared prompt part that would be computed again: it delays all later prompts and
+/// evicts another part. Without this weight a part that many prompts share is computed by one engine after another.
 const RECOMPUTE_FACTOR: f64 = 6.0;
 
-/// What a request that an engine runs already adds to the time to the next one's first token: each step of a full batch
-/// takes a millisecond longer.
+/// What each running request adds to the time to the next first token: each step of a full batch takes a millisecond
+/// longer.
 const RUNNING_DELAY: Duration = Duration::from_millis(1);
 
-/// What another failure domain adds to that time.
+/// What another failure domain adds to the time to the first token.
 const REMOTE_DELAY: Duration = Duration::from_millis(4);
 
-/// One endpoint, as far as it matters to a choice.
+/// The state of one endpoint that choices depend on.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub(super) domain: DomainId,
@@ -58,16 +59,16 @@
     pub(super) leaving: bool,
     pub(super) own_limit: EndpointLimit,
     other_load: f64,
-    /// When it last reported.
+    /// When the last load report arrived.
     last_report: Option<Instant>,
     own_changes: VecDeque<(Instant, u32)>,
     pub(super) prefill: Prefill,
-    /// Set where it was cold of late.
+    /// The limit while the endpoint is cold; may have expired.
     pub(super) cold: Option<ColdLimit>,
 }
 
 impl Endpoint {
-    /// Makes one that has no requests.
+    /// Creates an endpoint without requests.
     pub(super) fn new(domain: &DomainId, limit: u32) -> Self {
         Self {
             domain: domain.clone(),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Takes in its load report, which counted this router's own requests of that time too.
+    /// Records a load report, which also counts this router's own requests at the time it was measured.
     pub(super) fn report(&mut self, now: Instant, load: Load) {
         let own = self.own_active_at(load.measured);
         let others = f64::from((load.running + load.waiting).saturating_sub(own));
@@ -97,7 +98,7 @@
         self.own_limit.report(now, load);
     }
 
-    /// Takes over until when it is cold, nothing where it is warm, and this router's share of what it bears then.
+    /// Sets until when the endpoint is cold (`None` if it is warm) and this router's share of its rate until then.
     pub(super) fn set_cold(&mut self, until: Option<Instant>, share: u32) {
         match (&mut self.cold, until) {
             (Some(cold), Some(until)) => cold.update(until, share),
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Returns how long a prompt's first token is expected to take there.
+    /// Returns the expected time to a prompt's first token.
     pub(super) fn first_token_time(
         &self,
         now: Instant,
@@ -141,7 +142,7 @@
         self.cold.as_ref().is_some_and(|cold| cold.is_cold(now))
     }
 
-    /// Returns whether it takes one more; on trial, one at a time from this router.
+    /// Returns whether the endpoint takes one more request; on trial, one at a time from this router.
     pub(super) fn admits(&self, now: Instant, health: Health, usage: Usage) -> bool {
         let cold = self.cold.as_ref().filter(|cold| cold.is_cold(now));
         if cold.is_some_and(|cold| !cold.admits(now)) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Returns how bad a choice it is, 1 being a full endpoint.
+    /// Returns the score of a choice: the lower the better, 1 for a full endpoint.
     pub(super) fn score(
         &self,
         now: Instant,
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Returns how many of this router's requests it had then.
+    /// Returns how many of this router's requests were in progress at a time.
     fn own_active_at(&self, measured: Instant) -> u32 {
         self.own_changes
             .iter()
@@ -198,7 +199,7 @@
             .map_or_else(|| self.own_active_before(), |(_, own)| *own)
     }
 
-    /// Returns the own count before the remembered changes, as far as it can be told.
+    /// Returns the number of own requests before the changes that are kept, as far as it is known.
     fn own_active_before(&self) -> u32 {
         self.own_changes
             .front()
--- a/src/decide/hasher.rs
+++ b/src/decide/hasher.rs
@@ -1,16 +1,16 @@
-//! A faster hasher for keys that no caller chooses.
+//! A faster hasher for keys that callers do not choose.
 //!
-//! The standard one withstands keys made to collide, and took a quarter of a choice's time or more. Names of VMs come from the VM list,
-//! and block hashes are hashes already; one made to collide slows only whoever makes it.
+//! The standard hasher resists keys crafted to collide, but took a quarter or more of the time of a choice. VM names
+//! come from the VM list, and block hashes are already hashed; a crafted collision slows down only its author.
 
 use std::hash::Hasher;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// An odd number with bits all over: 2^64 over the golden ratio.
+/// An odd number with evenly distributed bits: 2^64 divided by the golden ratio.
 const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Hashes names of VMs, hashes and small numbers.
+/// Hashes VM names, hashes and small numbers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FastHasher(u64);
 
@@ -28,7 +28,7 @@
     }
 
     fn write_u64(&mut self, number: u64) {
-        // Spread over all bits: the table looks at the top ones too.
+        // Spreads the value over all bits, since the hash table also uses the top bits.
         self.0 = (self.0 ^ number).wrapping_mul(MULTIPLIER);
     }
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -1,10 +1,10 @@
-//! Which endpoints are kept out because they are slow or failing.
+//! Outlier ejection: keeps requests away from endpoints that are slow or failing.
 //!
-//! Answers an endpoint that fails or dawdles at each request and, being idle, looks the best to all who choose by load.
-//! Without ejection one in twelve takes far more than a twelfth of the traffic down with it. Ejection has a failure of
-//! its own: checks that fail though the endpoints are well, alternating with ones that pass, take so much capacity out
-//! that the rest falls over. So only a part of a pool and of a failure domain may be out at once, it may go out only so
-//! fast, and an endpoint that was put out before stays out longer.
+//! Handles an endpoint that fails or is slow at every request and, being idle, looks best to all routers that choose by
+//! load. Without ejection one such endpoint in twelve fails far more than a twelfth of the traffic. Ejection itself can
+//! fail: health checks that fail and pass in turn although the endpoints are healthy would remove so much capacity that
+//! the rest is overloaded. Therefore only a part of a pool and of a failure domain may be ejected at once, ejections
+//! are spaced in time, and an endpoint that was ejected before stays out longer.
 
 use std::hash::BuildHasherDefault;
 use std::time::Duration;
@@ -18,63 +18,67 @@
 use crate::ids::DomainId;
 use crate::ids::VmId;
 
-/// Failures in a row that eject. At one failure in a hundred by chance, five in a row come once in ten thousand million.
+/// Consecutive failures that eject an endpoint. With a random failure rate of one in a hundred, five in a row occur
+/// once in ten thousand million.
 const EJECT_FAILURES: u32 = 5;
 
-/// Failed checks in a row that eject: fewer than requests, as a check is sent only every second or so.
+/// Consecutive failed checks that eject an endpoint: fewer than for requests, because a check is sent only every second
+/// or so.
 const EJECT_CHECKS: u32 = 3;
 
-/// The share of failures, averaged over about 16 requests, that ejects.
+/// The share of failures, averaged over about 16 requests, above which an endpoint is ejected.
 const EJECT_ERROR_RATE: f64 = 0.5;
 
-/// How many times the pool's median time to the first token ejects. Below three, an endpoint that merely has the long
-/// prompts would go.
+/// The multiple of the pool's median time to the first token above which an endpoint is ejected. Below three, an
+/// endpoint that merely has long prompts would be ejected.
 const EJECT_SLOWNESS: f64 = 3.0;
 
-/// How many answers a share of failures or a time must rest on.
+/// How many answers the error rate and the latency must be based on for an ejection.
 const MIN_SAMPLES: u32 = 8;
 
-/// How many answers it takes for an endpoint to be thought slower than others, before it is ejected.
+/// How many answers it takes to consider an endpoint slower than others, before it is ejected.
 const SLOWNESS_SAMPLES: u32 = 2;
 
 /// The weight of the newest sample in an average.
 const EWMA_WEIGHT: f64 = 1.0 / 16.0;
 
-/// How long an endpoint stays out the first time: a restart takes a few seconds.
+/// How long an endpoint is ejected the first time: a restart takes a few seconds.
 const BASE_EJECTION: Duration = Duration::from_secs(5);
 
-/// The longest that it stays out between two trials.
+/// The longest time between two trials of an ejected endpoint.
 const MAX_EJECTION: Duration = Duration::from_secs(300);
 
-/// Half of the pause after a first failed request; each further one in a row doubles it. The caps do not count pauses:
-/// they are short, and rest on a request that did fail, not on a check. Without them an outage of a whole pool answers
-/// every waiting request with a failure within milliseconds, and callers spend all their tries on it.
+/// Half of the pause after a first failed request; each further consecutive failure doubles the pause. Pauses do not
+/// count towards the ejection limits: they are short, and are caused by a request that did fail, not by a check.
+/// Without them an outage of a whole pool fails every waiting request within milliseconds, and callers spend all their
+/// attempts on it.
 const BASE_PAUSE: Duration = Duration::from_millis(50);
 
-/// The longest pause: how late an outage's end may be noticed.
+/// The longest pause, and so the longest delay in noticing that an outage is over.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// Good answers in a row that end a trial.
+/// Consecutive successes that end a trial.
 const TRIAL_SUCCESSES: u32 = 3;
 
-/// How long an endpoint must have been well for its earlier ejections to be forgotten.
+/// How long an endpoint must have been healthy for its earlier ejections to be disregarded.
 const EJECTION_RESET: Duration = Duration::from_secs(600);
 
-/// How much may be ejected, and how fast.
+/// Limits on how many endpoints may be ejected, and how fast.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectionLimits {
-    /// The most of a pool that may be out, of 1.
+    /// The largest share of a pool that may be ejected, from 0 to 1.
     pub pool: f64,
-    /// The most of one failure domain that may be out, of 1.
+    /// The largest share of a failure domain that may be ejected, from 0 to 1.
     pub domain: f64,
-    /// How often one more may go out.
+    /// The shortest time between two ejections.
     pub interval: Duration,
 }
 
 impl Default for EjectionLimits {
-    /// Returns caps for a fleet that runs at up to four fifths of what it can do: a fifth of a pool; half of a failure
-    /// domain, because a check that fails for a whole domain tells more about the way there than about the endpoints; one
-    /// every two seconds, without which all that the other two allow goes in the first second of a false alarm.
+    /// Returns limits for a fleet that runs at up to four fifths of its capacity: a fifth of a pool; half of a failure
+    /// domain, because checks that fail for a whole domain indicate a fault of the network path rather than of the
+    /// endpoints; one ejection every two seconds, since without it all that the other two limits allow would be ejected
+    /// in the first second of a false alarm.
     fn default() -> Self {
         Self {
             pool: 0.2,
@@ -84,25 +88,25 @@
     }
 }
 
-/// What was seen of an endpoint.
+/// What a request or a check showed about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A request began to be answered, after this time.
+    /// A request's first token arrived after this time.
     Answered(Duration),
     /// A request failed through the endpoint's fault.
     Failed,
-    /// A check passed or did not.
+    /// A health check passed (true) or failed.
     Checked(bool),
 }
 
-/// Whether an endpoint is used.
+/// Whether an endpoint gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It is.
+    /// It gets requests.
     In,
-    /// It gets one request at a time, to see whether it is well again.
+    /// It gets one request at a time, to find out whether it has recovered.
     Trial,
-    /// It is not.
+    /// It gets none.
     Out,
 }
 
@@ -115,17 +119,17 @@
     error_rate: f64,
     latency: f64,
     samples: u32,
-    /// Until when it is out; on trial after that.
+    /// The end of the ejection; the endpoint is on trial after that.
     ejected_until: Option<Instant>,
-    /// Until when it gets nothing after a failed request, ejected or not.
+    /// The end of the pause after a failed request, whether or not the endpoint is ejected.
     paused_until: Option<Instant>,
-    /// Whether failed checks alone put it out.
+    /// Whether it was ejected because of failed checks.
     ejected_by_checks: bool,
     ejections: u32,
     measured_since: Instant,
 }
 
-/// Ejects the endpoints of one pool.
+/// Ejects outliers among the endpoints of one pool.
 #[derive(Debug, Default)]
 pub struct Ejector {
     limits: EjectionLimits,
@@ -136,7 +140,7 @@
 }
 
 impl Ejector {
-    /// Makes one that knows no endpoint.
+    /// Creates an ejector without endpoints.
     pub fn new(limits: EjectionLimits) -> Self {
         Self {
             limits,
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Adds an endpoint, as well.
+    /// Adds an endpoint as healthy.
     pub fn put(&mut self, now: Instant, vm: &VmId, domain: &DomainId) {
         self.endpoints.entry(vm.clone()).or_insert(Endpoint {
             domain: domain.clone(),
@@ -167,7 +171,7 @@
         self.endpoints.swap_remove(vm);
     }
 
-    /// Returns whether an endpoint is used.
+    /// Returns whether an endpoint gets requests.
     pub fn health(&self, now: Instant, vm: &VmId) -> Health {
         match self.endpoints.get(vm) {
             Some(e) if e.paused_until.is_some_and(|until| now < until) => Health::Out,
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Returns how many times the pool's median an endpoint takes to the first token; at least 1.
+    /// Returns an endpoint's time to the first token as a multiple of the pool's median; at least 1.
     pub fn slowness(&self, vm: &VmId) -> f64 {
         match self.endpoints.get(vm) {
             Some(e) if e.samples >= SLOWNESS_SAMPLES && self.median > 0.0 => {
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Returns how many endpoints are out or on trial.
+    /// Returns the number of endpoints that are ejected or on trial.
     pub fn ejected(&self) -> usize {
         self.endpoints
             .values()
@@ -194,7 +198,7 @@
             .count()
     }
 
-    /// Takes in what was seen of an endpoint and ejects it or ends its trial where that follows.
+    /// Records an observation, and ejects the endpoint or ends its trial accordingly.
     pub fn record<R>(&mut self, now: Instant, vm: &VmId, observation: Observation, rng: &mut R)
     where
         R: Rng,
@@ -213,7 +217,7 @@
         }
     }
 
-    /// Ejects an endpoint if the caps leave room.
+    /// Ejects an endpoint if the limits allow it.
     fn eject<R>(&mut self, now: Instant, vm: &VmId, rng: &mut R)
     where
         R: Rng,
@@ -248,7 +252,7 @@
             && out < max_ejected(same_domain.len(), self.limits.domain)
     }
 
-    /// Finds the pool's median time to the first token, once a second.
+    /// Updates the pool's median time to the first token, once a second.
     fn update_median(&mut self, now: Instant) {
         let fresh = self
             .median_updated
@@ -325,14 +329,14 @@
         let time = BASE_EJECTION
             .saturating_mul(1 << self.ejections.min(16))
             .min(MAX_EJECTION);
-        // Routers eject together and would try the endpoint again together.
+        // Routers eject an endpoint at the same time, and without jitter would also try it again at the same time.
         let jittered = time.mul_f64(rng.random_range(1.0..1.5));
         self.ejections += 1;
         self.ejected_until = Some(now + jittered);
         self.reset(now);
     }
 
-    /// Judges a trial by what it showed.
+    /// Ends the trial or ejects the endpoint again, depending on the observation.
     fn update_trial<R>(&mut self, now: Instant, observation: Observation, median: f64, rng: &mut R)
     where
         R: Rng,
@@ -341,7 +345,7 @@
         if slow || observation == Observation::Failed {
             return self.eject(now, rng);
         }
-        // A check says nothing of an endpoint that is slow or fails requests.
+        // A check does not show whether a slow or failing endpoint has recovered.
         let passed = self.ejected_by_checks && observation == Observation::Checked(true);
         if self.successes >= TRIAL_SUCCESSES || passed {
             self.ejected_until = None;
@@ -349,7 +353,7 @@
         }
     }
 
-    /// Starts measuring anew.
+    /// Discards all measurements.
     fn reset(&mut self, now: Instant) {
         self.failures = 0;
         self.failed_checks = 0;
@@ -361,7 +365,7 @@
     }
 }
 
-/// Returns how many of `count` may be out: none of two, and at least one of three.
+/// Returns how many of `count` endpoints may be ejected: none of two, and at least one of three.
 fn max_ejected(count: usize, share: f64) -> usize {
     match count {
         0..=2 => 0,
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -1,8 +1,9 @@
-//! The limit of a client account.
+//! The rate and concurrency limit of a client account.
 //!
-//! Answers a client account that sends far more than was agreed: a loop without a pause, a batch job at noon. Without it
-//! such an account fills the queue and the engines before fairness can tell it from the others, and each of its requests
-//! costs a router the work of reading it. A token bucket bounds its rate and a count bounds what it has in progress.
+//! Handles a client account that sends far more than was agreed, such as a loop without a pause or a batch job at noon.
+//! Without the limit such an account fills the queue and the engines before fair queueing can tell it from others, and
+//! each of its requests costs the router the work of reading it. A token bucket limits its rate, and a counter limits
+//! its requests in progress.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,31 +12,31 @@
 
 use crate::config::Limits;
 
-/// The longest wait that a refusal asks for. Callers that are told more give up or ignore it.
+/// The longest wait that a refusal asks for. Callers that are told to wait longer give up or ignore it.
 const MAX_RETRY: Duration = Duration::from_secs(30);
 
-/// The wait that a refusal for too many requests in progress asks for: about the length of a short answer.
+/// The wait that a refusal for too many requests in progress asks for: about as long as a short answer takes.
 const BUSY_RETRY: Duration = Duration::from_secs(1);
 
-/// Tells why a client account may not enter.
+/// Why a client account's request is refused.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
-    /// It sends faster than its rate.
+    /// The account exceeds its rate.
     #[error("the client account is over its rate")]
     Rate {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
-    /// It has as many requests in progress as it may.
+    /// The account has the maximum number of requests in progress.
     #[error("the client account has too many requests in progress")]
     Concurrency {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
 }
 
 impl Refusal {
-    /// Returns when to come back.
+    /// Returns how long to wait before the next attempt.
     pub fn retry_after(&self) -> Duration {
         match self {
             Self::Rate { retry_after } | Self::Concurrency { retry_after } => *retry_after,
@@ -43,19 +44,19 @@
     }
 }
 
-/// One client account's limit at one router.
+/// The limit of one client account at one router.
 #[derive(Clone, Debug)]
 pub struct AccountLimit {
     limits: Limits,
     tokens: f64,
-    /// Places in the future that refused requests were sent to, so that they don't all come back for the same one.
+    /// Future tokens that refused requests were told to return for, so that they do not all return for the same one.
     deferred: f64,
     active: u32,
     updated: Instant,
 }
 
 impl AccountLimit {
-    /// Makes the limit of an account that has not called yet.
+    /// Creates the limit of an account that has not sent a request yet.
     pub fn new(now: Instant, limits: &Limits) -> Self {
         Self {
             limits: limits.clone(),
@@ -66,24 +67,24 @@
         }
     }
 
-    /// Takes over changed limits; what is in progress stays.
+    /// Applies changed limits; requests in progress are not affected.
     pub fn set_limits(&mut self, now: Instant, limits: &Limits) {
         self.refill(now);
         self.tokens = self.tokens.min(f64::from(limits.burst));
         self.limits = limits.clone();
     }
 
-    /// Returns how many requests are in progress.
+    /// Returns the number of requests in progress.
     pub fn active(&self) -> u32 {
         self.active
     }
 
-    /// Lets one request in, which [`leave`](Self::leave) ends.
+    /// Admits one request, which must be ended by [`release`](Self::release).
     ///
     /// # Errors
     ///
-    /// The refusal, when the account is over a limit. Its wait grows with each refusal in a row, by the time that the
-    /// rate needs for one more.
+    /// Returns a refusal if the account is over a limit. Each further refusal in a row asks for a longer wait, by the
+    /// time that the rate takes to allow one more request.
     pub fn try_acquire(&mut self, now: Instant) -> Result<(), Refusal> {
         self.refill(now);
         if self.active >= self.limits.concurrency {
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,14 +1,15 @@
-//! Decisions under load: whom to serve, who waits, who is refused, and where work goes.
+//! Decisions under load: which requests to serve, queue or refuse, and which endpoint runs them.
 //!
-//! Nothing here has input or output. Each module is told the time and given a seeded generator where it needs chance, so
-//! that a scenario can be replayed. Each opens with the load pattern that it answers, what happens without it, and the
-//! grounds for its figures; `docs/design/decisions.md` has what was measured.
+//! Nothing here does any I/O. Each module is given the time, and a seeded random generator where it needs one, so that
+//! a scenario can be replayed. Each module's documentation starts with the load pattern that it handles, what happens
+//! without it, and the reasons for its constants; `docs/design/decisions.md` has the measurements.
 //!
-//! A router has one [`FairQueue`], [`Chooser`] and [`Ejector`] for each pool and model, and one of the others for itself.
-//! A request passes [`AccountLimit::try_enter`], [`Quarantine::isolation`], the holding that [`HoldingPolicy`] keeps, and
-//! [`FairQueue::push`]. On each arrival, end, report and deadline the router takes requests by [`FairQueue::pop_where`] as
-//! long as [`Chooser::choose`] finds an endpoint, calls [`Chooser::start`] and dispatches them. [`Chooser::end`],
-//! [`Ejector::record`], [`PrefixIndex::served`] and [`Quarantine::complete`] take in how it went.
+//! A router has one [`FairQueue`], [`Chooser`] and [`Ejector`] for each pool and model, and one of each of the others.
+//! A request passes [`AccountLimit::try_acquire`], [`Quarantine::isolation`], the holding that [`HoldingPolicy`] keeps,
+//! and [`FairQueue::push`]. On each arrival, end, report and deadline the router takes requests by
+//! [`FairQueue::pop_where`] as long as [`Chooser::choose`] finds an endpoint, calls [`Chooser::start`] and dispatches
+//! them. [`Chooser::end`], [`Ejector::record`], [`PrefixIndex::served`] and [`Quarantine::complete`] record how a
+//! request ended.
 
 mod advice;
 mod borrowers;
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -1,11 +1,12 @@
-//! Which requests are kept from endpoints because they crash them.
+//! Isolates and refuses requests that crash endpoints.
 //!
-//! Answers a single request that crashes each endpoint that runs it, and whose caller, or whose router, sends it again.
-//! Without it one such request takes the pool down endpoint by endpoint, with all that runs beside it. An endpoint also
-//! dies of itself, and what ran there then must run again and be refused nothing. When an endpoint dies, all that ran on
-//! it are suspects, unless some were suspects before: then these explain it and the others are innocent. A suspect runs
-//! apart from other suspects, and is cleared when it completes. Suspects are recorded in the ledger, so that all routers
-//! know of them: [`Ledger::quarantined`](crate::Ledger::quarantined) refuses one after its second endpoint.
+//! Handles a request that crashes each endpoint that runs it and is sent again by its caller or router. Without a
+//! quarantine one such request takes down the pool endpoint by endpoint, together with everything else that runs there.
+//! An endpoint may also crash for other reasons, and the requests that ran there must then be retried and not refused.
+//! When an endpoint crashes, all requests that ran on it become suspects, unless some were suspects already: these then
+//! explain the crash, and the others are innocent. A suspect runs apart from other suspects, and is cleared when it
+//! completes. Suspects are recorded in the ledger, so that all routers know them:
+//! [`Ledger::quarantined`](crate::Ledger::quarantined) refuses one after it crashed its second endpoint.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,38 +19,40 @@
 use crate::ids::Fingerprint;
 use crate::ids::VmId;
 
-/// How many endpoints must have died of a request for it to be refused. The first may have died of itself; that the same
-/// request ran on two by chance is as rare as an endpoint's death in the seconds of one rerun.
+/// How many endpoints must have crashed while running a request for it to be refused. The first may have crashed for
+/// another reason. That the same request ran on two by chance is as unlikely as an endpoint's crash in the few seconds
+/// of one rerun.
 const CRASH_LIMIT: usize = 2;
 
-/// How long a suspect is remembered: longer than a caller goes on sending.
+/// How long a suspect is kept: longer than a caller keeps sending it.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(3600);
 
-/// How many suspects are remembered: a hundred endpoints' deaths with a full batch each.
+/// How many suspects are kept: the crashes of a hundred endpoints with a full batch each.
 const MAX_SUSPECTS: usize = 4096;
 
-/// So many other endpoints that died within [`TOGETHER`] and ran no request in common tell of a rack or a switch.
+/// How many other endpoints must have crashed within [`CORRELATION_WINDOW`], with no request in common, for the cause
+/// to be a rack or a switch.
 const UNRELATED_CRASHES: usize = 2;
 
-/// See [`OTHERS`]. A request that is sent again needs longer to crash three endpoints: a death is noticed, and the request
-/// dispatched and read anew, each time.
+/// See [`UNRELATED_CRASHES`]. A request that is sent again takes longer to crash three endpoints, since each time the
+/// crash must be noticed and the request dispatched and read again.
 const CORRELATION_WINDOW: Duration = Duration::from_secs(2);
 
-/// How a request may run.
+/// Where a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Isolation {
-    /// Anywhere.
+    /// On any endpoint.
     None,
-    /// Where nothing else runs, or at least no other suspect: see [`Quarantine::avoid`].
+    /// On an endpoint where nothing else runs, or at least no other suspect: see [`Quarantine::avoided_endpoints`].
     Isolated,
-    /// Not at all.
+    /// Nowhere.
     Refused,
 }
 
-/// Returns the router that may run suspects on an endpoint, by rendezvous hash.
+/// Returns the router that may run suspects on an endpoint, by rendezvous hashing.
 ///
-/// Routers do not tell each other where their suspects run. Without an owner for each endpoint, an innocent suspect of one
-/// runs beside the guilty one of another, dies with it and is refused for it.
+/// Routers do not tell each other where their suspects run. Without one router for each endpoint, an innocent suspect
+/// of one router could run beside the guilty suspect of another, crash with it and be refused.
 pub fn suspect_router<'a>(routers: &'a [VmId], endpoint: &VmId) -> Option<&'a VmId> {
     routers.iter().max_by_key(|router| {
         let seed = xxh3_64(router.as_str().as_bytes());
@@ -57,7 +60,7 @@
     })
 }
 
-/// How long an endpoint that fell may still be down: as long as an engine's process takes to be started again.
+/// How long an endpoint may be down after a crash: as long as an engine's process takes to restart.
 const RESTART_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
@@ -72,23 +75,24 @@
     requests: Vec<Fingerprint>,
 }
 
-/// Tells requests that crash endpoints from those that merely ran there.
+/// Distinguishes requests that crash endpoints from those that merely ran there.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     running: IndexMap<VmId, IndexMap<Fingerprint, u32>>,
     suspects: IndexMap<Fingerprint, Suspect>,
     crashes: VecDeque<Crash>,
-    /// When each endpoint last fell, by this router or by another's record, and what ran there then.
+    /// When each endpoint last crashed, as seen by this router or recorded by another, and what ran there then.
     last_crashes: IndexMap<VmId, (Instant, Vec<Fingerprint>)>,
 }
 
 impl Quarantine {
-    /// Makes one that suspects nothing.
+    /// Creates a quarantine without suspects.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tells how a request may run, by what this router knows; the ledger knows what others refuse.
+    /// Returns where a request may run, by this router's suspects only; the ledger knows which requests all routers
+    /// refuse.
     pub fn isolation(&self, request: Fingerprint) -> Isolation {
         match self.suspects.get(&request).map(|s| s.endpoints.len()) {
             None => Isolation::None,
@@ -97,8 +101,8 @@
         }
     }
 
-    /// Returns the endpoints that a request should not go to if others are left: for a suspect those where anything
-    /// runs, for all others those where a suspect runs.
+    /// Returns the endpoints that a request should not go to if there are others: for a suspect those where any request
+    /// runs, otherwise those where a suspect runs.
     pub fn avoided_endpoints(&self, request: Fingerprint) -> Vec<VmId> {
         let suspect = self.suspects.contains_key(&request);
         self.running
@@ -108,8 +112,8 @@
             .collect()
     }
 
-    /// Returns the endpoints that a suspect must not go to even if no others are left: those where another one runs.
-    /// Two suspects side by side could not be told apart, and an innocent one would be refused.
+    /// Returns the endpoints that a suspect must not go to even if there are no others: those where another suspect
+    /// runs. Two suspects on one endpoint could not be told apart, and an innocent one would be refused.
     pub fn forbidden_endpoints(&self, request: Fingerprint) -> Vec<VmId> {
         if !self.suspects.contains_key(&request) {
             return Vec::new();
@@ -121,13 +125,14 @@
             .collect()
     }
 
-    /// Notes that a request was sent to an endpoint.
+    /// Records that a request was sent to an endpoint.
     pub fn start(&mut self, request: Fingerprint, endpoint: &VmId) {
         let requests = self.running.entry(endpoint.clone()).or_default();
         *requests.entry(request).or_default() += 1;
     }
 
-    /// Notes that a request ended at an endpoint in a way that proves nothing: it was cancelled, or failed by itself.
+    /// Records that a request ended at an endpoint without evidence for or against it: it was cancelled, or failed by
+    /// itself.
     pub fn end(&mut self, request: Fingerprint, endpoint: &VmId) {
         let Some(requests) = self.running.get_mut(endpoint) else {
             return;
@@ -143,13 +148,13 @@
         }
     }
 
-    /// Notes that a request was answered whole, which clears it.
+    /// Records that a request was answered completely, and clears it.
     pub fn complete(&mut self, request: Fingerprint, endpoint: &VmId) {
         self.end(request, endpoint);
         self.suspects.swap_remove(&request);
     }
 
-    /// Notes that an endpoint died, and returns the requests whose crash is to be recorded in the ledger.
+    /// Records that an endpoint crashed, and returns the requests to record as suspects in the ledger.
     pub fn record_crash(&mut self, now: Instant, endpoint: &VmId) -> Vec<Fingerprint> {
         let requests: Vec<_> = self
             .running
@@ -172,7 +177,7 @@
         suspects
     }
 
-    /// Takes in a crash, of this router or from the ledger.
+    /// Adds a suspect of an endpoint's crash, found by this router or read from the ledger.
     pub fn add_suspect(&mut self, now: Instant, request: Fingerprint, endpoint: &VmId) {
         self.expire(now);
         let running = self.running.get(endpoint);
@@ -189,11 +194,11 @@
         }
     }
 
-    /// Picks those that explain a death: the ones that were suspects before, or else all.
+    /// Returns the requests that explain a crash: those that were suspects before, or else all.
     ///
-    /// An endpoint that fell a moment ago cuts off whatever is sent to it until it is up again. A request that met only
-    /// that would be refused for the crash of another, so nothing that was sent there later is blamed, and nothing becomes
-    /// a suspect by a fall that a record explains.
+    /// An endpoint that crashed a moment ago drops every request that it is sent until it has restarted. A request that
+    /// saw only this would be refused because of another's crash. So no request that was sent after the crash is held
+    /// responsible, and none becomes a suspect through a crash that a record already explains.
     fn select_suspects(
         &self,
         now: Instant,
@@ -213,10 +218,10 @@
         }
     }
 
-    /// Tells whether a death is one of several that no request explains.
+    /// Returns whether a crash is one of several that no single request explains.
     ///
-    /// When a rack goes, what ran on one of its endpoints is sent to the next one, which dies too, and would be refused
-    /// ever after though nothing is wrong with it.
+    /// When a rack fails, the requests of one of its endpoints are sent to the next, which fails too. They would be
+    /// refused from then on although nothing is wrong with them.
     fn is_correlated(&mut self, now: Instant, requests: &[Fingerprint]) -> bool {
         self.crashes
             .retain(|crash| now < crash.at + CORRELATION_WINDOW);
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -1,10 +1,11 @@
-//! The queue of requests that wait for an endpoint.
+//! A bounded, weighted fair queue of requests that wait for an endpoint.
 //!
-//! Answers more work than the endpoints take: a burst, a hot client account or key, an overload that lasts. In a plain
-//! first-in-first-out queue the account that sends most gets most, a modest account waits behind all of it, and under a
-//! lasting overload every request waits until its deadline and is then run for nobody. Here teams share by virtual time
-//! (the cost of what was served, over the weight), accounts share within and across teams likewise, an account may fill
-//! only a part of the queue, and whoever would wait past the deadline is refused at once.
+//! Handles more work than the endpoints can take: a burst, a single client account or key with very many requests, or a
+//! lasting overload. In a plain FIFO queue the account that sends the most is served the most, a modest account waits
+//! behind all of that work, and under a lasting overload every request waits until its deadline and is then run
+//! although nobody waits for the answer. This queue shares by virtual time (the cost served, divided by the weight):
+//! among teams, and likewise among accounts within and across teams. One account may fill only a part of the queue, and
+//! a request that would wait past its deadline is refused at once.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -25,79 +26,80 @@
 use crate::ids::TeamId;
 use crate::tokens::Tokens;
 
-/// How many priorities there are, 0 (first) to 9 (last).
+/// The number of priorities, 0 (first) to 9 (last).
 const PRIORITY_LEVELS: usize = 10;
 
-/// One account may have one in this many places. A quarter leaves room for the others however many requests one sends,
-/// and lets an account that is alone on a router still queue for a burst.
+/// One account may fill the queue's length divided by this. A quarter leaves room for other accounts however many
+/// requests one sends, and lets the only account of a router still queue a burst.
 const ACCOUNT_DIVISOR: usize = 4;
 
-/// Those refused together come back over so many times the time that they were told at least.
+/// The upper bound of the random factor on the time in a refusal, so that callers refused together do not all return
+/// together.
 const RETRY_JITTER: f64 = 1.5;
 
-/// How many times the estimated wait must fit before the deadline. The estimate swings with the drain; at 1, a third of
-/// those that waited reached their deadlines all the same and had waited for nothing, at 2 none did.
+/// How many times the estimated wait must fit before the deadline. The estimate fluctuates with the drain rate: at 1, a
+/// third of the requests that waited reached their deadlines anyway and had waited for nothing; at 2 none did.
 const WAIT_MARGIN: f64 = 2.0;
 
-/// How many that do not fit are looked at before a pop gives up. At some microseconds for a choice, looking at all of 430
-/// teams at each arrival in an overload would take a router's whole time.
+/// How many requests a pop rejects as unfit before it gives up. A choice takes some microseconds, so examining all of
+/// 430 teams at each arrival during an overload would take all of a router's time.
 const MAX_MISSES: u32 = 8;
 
-/// How often teams and accounts that have nothing waiting and had next to nothing lately are forgotten.
+/// How often teams and accounts are dropped that have nothing waiting and were served next to nothing recently.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The shortest wait that a refusal asks for.
 const MIN_RETRY_S: f64 = 1.0;
 
-/// The longest wait that a refusal asks for. Cut at half of it, a burst's callers came back too soon and were refused
+/// The longest wait that a refusal asks for. At half of this, the callers of a burst returned too soon and were refused
 /// again.
 const MAX_RETRY_S: f64 = 60.0;
 
-/// The wait that is asked for before any drain was measured.
+/// The wait that a refusal asks for before the drain rate is known.
 const DEFAULT_RETRY_S: f64 = 2.0;
 
-/// What is waiting and for how long it may.
+/// A waiting request's payer, caller, cost and deadline.
 #[derive(Clone, Debug)]
 pub struct QueueTicket {
-    /// Who pays.
+    /// The team that pays.
     pub team: TeamId,
-    /// Who calls.
+    /// The client account that calls.
     pub account: AccountId,
     /// 0 (first) to 9 (last), among the requests of the same team.
     pub priority: u8,
-    /// The account's weight against other accounts'.
+    /// The account's weight relative to other accounts.
     pub weight: u32,
-    /// What it may cost.
+    /// The most that it may cost.
     pub cost: Tokens,
-    /// When waiting stops being of use.
+    /// When the request is given up.
     pub deadline: Instant,
 }
 
-/// Tells why a request may not wait.
+/// Why a request cannot be queued.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum PushError {
-    /// The queue has no place for it.
+    /// The queue is full.
     #[error("the queue is full")]
     Length {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
-    /// Its client account has filled its part of the queue.
+    /// The client account has filled its part of the queue.
     #[error("the client account has too many requests waiting")]
     Account {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
-    /// It would wait past its deadline.
+    /// The request would wait past its deadline.
     #[error("the wait would outlast the deadline")]
     Deadline {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
 }
 
 impl PushError {
-    /// Returns when to come back.
+    /// Returns how long to wait before the next attempt.
     pub fn retry_after(&self) -> Duration {
         match self {
             Self::Length { retry_after }
@@ -107,7 +109,7 @@
     }
 }
 
-/// Names one waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitingId(u64);
 
@@ -117,7 +119,7 @@
     ticket: QueueTicket,
 }
 
-/// A team's or an account's part: its virtual time, and what it has waiting.
+/// The virtual time and the waiting work of a team or an account.
 #[derive(Clone, Debug, Default)]
 struct Flow {
     vtime: f64,
@@ -131,7 +133,7 @@
     queues: [IndexMap<AccountId, VecDeque<WaitingId>>; PRIORITY_LEVELS],
 }
 
-/// A bounded queue, fair over teams and accounts.
+/// A bounded queue, fair among teams and accounts.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     max_len: usize,
@@ -142,7 +144,7 @@
     /// Evicted to make room.
     evicted: Vec<T>,
     recent: RecentUsage,
-    /// The virtual time: that of the last one served.
+    /// The virtual time of the request served last.
     vtime: f64,
     last_sweep: Option<Instant>,
     drain: Drain,
@@ -152,7 +154,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Makes an empty queue of at most `length` requests.
+    /// Creates an empty queue of at most `max_len` requests.
     pub fn new(max_len: usize, rng: ChaCha8Rng) -> Self {
         Self {
             max_len,
@@ -171,26 +173,26 @@
         }
     }
 
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns how many teams and accounts are remembered.
+    /// Returns the number of teams and accounts in memory.
     pub fn flow_count(&self) -> usize {
         self.teams.len() + self.accounts.len()
     }
 
-    /// Lets a request wait.
+    /// Queues a request.
     ///
     /// # Errors
     ///
-    /// Why it may not, when the queue is full, its account has filled its part, or the wait would outlast its deadline.
+    /// Returns an error if the queue is full, the account has filled its part, or the wait would outlast the deadline.
     pub fn push(
         &mut self,
         now: Instant,
@@ -217,16 +219,17 @@
         Ok(self.insert(item, ticket))
     }
 
-    /// Takes out the one to serve next.
+    /// Removes and returns the next request to serve.
     pub fn pop(&mut self, now: Instant) -> Option<T> {
         self.pop_where(now, |_, _| true)
     }
 
-    /// Takes out the one to serve next of those for which there is a place; `fits` is also told its account's usage.
+    /// Removes and returns the next request for which `fits` returns true; `fits` also gets the usage of the request's
+    /// account.
     ///
-    /// Without a choice, one request that may not go to the endpoint with room, having failed there, would keep all others
-    /// waiting. It looks at a few only: requests for one model belong in one queue, and when that model's endpoints are
-    /// full, each look at another request is for nothing.
+    /// Without the filter, one request that may not go to the only endpoint with room, because it failed there, would
+    /// block all others. Only a few requests are examined: a queue holds requests for one model, so when that model's
+    /// endpoints are full, examining more of them is wasted work.
     pub fn pop_where<F>(&mut self, now: Instant, mut fits: F) -> Option<T>
     where
         F: FnMut(&T, Usage) -> bool,
@@ -243,7 +246,7 @@
         Some(waiting.item)
     }
 
-    /// Takes out those that are given up on: past their deadlines, or displaced by an account that has less waiting.
+    /// Removes and returns the requests that are past their deadlines or were evicted for an account with less waiting.
     pub fn take_expired(&mut self, now: Instant) -> Vec<T> {
         let mut expired = std::mem::take(&mut self.evicted);
         while let Some((deadline, id)) = self.deadlines.first().copied()
@@ -255,22 +258,22 @@
         expired
     }
 
-    /// Takes out one whose caller no longer waits.
+    /// Removes a request whose caller no longer waits.
     pub fn cancel(&mut self, now: Instant, id: WaitingId) -> Option<T> {
         let item = self.remove(id)?.item;
         self.stop_if_empty(now);
         Some(item)
     }
 
-    /// Returns when the next one is past its deadline.
+    /// Returns the earliest deadline.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Estimates how long a request would wait, once a drain was measured.
+    /// Estimates how long a request would wait, once the drain rate is known.
     ///
-    /// Ahead of it are the whole queue or, where that is less, what its own team has waiting, with as much of each other
-    /// team served beside it.
+    /// The work ahead of it is what its own team has waiting, plus at most as much of each other team, since teams are
+    /// served in turn; at most the whole queue.
     pub fn estimate_wait(&self, now: Instant, ticket: &QueueTicket) -> Option<Duration> {
         let rate = self.drain.rate(now)?;
         let queued = self.teams.get(&ticket.team).map_or(0, |t| t.flow.cost);
@@ -282,9 +285,10 @@
         ))
     }
 
-    /// Tells when to come back: when the queue has drained, and all that were told so before have come back too.
+    /// Returns how long to wait until the queue has drained and all callers that were refused before have been served
+    /// too.
     ///
-    /// Whoever is refused comes again. Told the same time, all of them would be refused again together.
+    /// Refused callers return. If all were given the same time, they would be refused together again.
     fn retry_after(&mut self, now: Instant, wait: Option<Duration>, cost: Tokens) -> Duration {
         let rate = self.drain.rate(now);
         self.deferred.advance(now, rate.unwrap_or_default());
@@ -295,7 +299,7 @@
         Duration::from_secs_f64(wait * self.rng.random_range(1.0..RETRY_JITTER))
     }
 
-    /// Gives up the newest request of the account with most waiting, for the sake of an account with less.
+    /// Evicts the newest request of the account with the most waiting, for an account with less.
     fn make_room(&mut self, own_count: usize) -> bool {
         let Some((largest, _)) = self
             .accounts
@@ -322,7 +326,8 @@
         let id = WaitingId(self.next_id);
         self.next_id += 1;
         self.deadlines.insert((ticket.deadline, id));
-        // Whoever had nothing waiting starts at the present: idle time earns no right to all of the endpoints later.
+        // A flow with nothing waiting starts at the current virtual time: idle time does not entitle it to all
+        // endpoints later.
         let account = self.accounts.entry(ticket.account.clone()).or_default();
         account.add(self.vtime, &ticket);
         let team = self.teams.entry(ticket.team.clone()).or_default();
@@ -349,7 +354,7 @@
         Some(waiting)
     }
 
-    /// Ends the measuring of the drain when nobody waits.
+    /// Stops measuring the drain rate when the queue is empty.
     fn stop_if_empty(&mut self, now: Instant) {
         if self.is_empty() {
             self.drain.stop(now);
@@ -357,11 +362,11 @@
         }
     }
 
-    /// Forgets teams and accounts that have nothing waiting and are not ahead of the virtual time; all of them when nobody
-    /// waits, as nothing is shared then.
+    /// Drops teams and accounts that have nothing waiting and are not ahead of the virtual time, or all of them when
+    /// the queue is empty, since nothing is shared then.
     ///
-    /// One that was just served is ahead, and nothing of it may come again to remove it by: each of 430,000 teams would
-    /// stay for ever, and be looked at by each pop.
+    /// A flow that was just served is ahead, and may never send another request that would remove it. Without the sweep
+    /// each of 430,000 teams would stay for ever and be visited by each pop.
     fn sweep(&mut self, now: Instant) {
         if self.is_empty() {
             self.teams.clear();
@@ -382,15 +387,14 @@
         self.recent.sweep(now);
     }
 
-    /// Tells whether an account used less than its part lately.
     fn usage(&self, now: Instant, account: &AccountId) -> Usage {
         self.recent.usage(now, account)
     }
 
-    /// Finds the first that fits of the first of each team, the team furthest behind first.
+    /// Finds the first fitting request among the teams' front requests, starting with the lowest virtual time.
     ///
-    /// A team's own virtual time is the least that its turn may come at; the account's, which costs a look, is looked at
-    /// only for teams whose turn it might be.
+    /// A team's own virtual time is the lower bound of its turn. The virtual time of its front account takes a lookup,
+    /// which is made only for teams whose turn it may be.
     fn find_next<F>(&self, mut fits: F) -> Option<WaitingId>
     where
         F: FnMut(WaitingId) -> bool,
@@ -410,7 +414,7 @@
                 None => {
                     let front = team.front(&self.accounts);
                     turns.extend(front.map(|(id, vtime)| {
-                        // Passes are never negative, so that their bits are in their order.
+                        // Virtual times are never negative, so their bit patterns sort like the values.
                         Reverse((vtime.max(team.flow.vtime).to_bits(), index, Some(id)))
                     }));
                 }
@@ -419,7 +423,7 @@
         None
     }
 
-    /// Moves the virtual times on by what is served.
+    /// Advances the virtual times by the cost of a served request.
     fn charge(&mut self, now: Instant, ticket: &QueueTicket) {
         let cost = ticket.cost.0.max(1) as f64;
         self.recent.charge(now, &ticket.account, cost);
@@ -434,7 +438,7 @@
 }
 
 impl Team {
-    /// Returns the one to serve next: of the best priority, the account furthest behind.
+    /// Returns the next request: from the best priority, that of the account with the lowest virtual time.
     fn front(&self, accounts: &IndexMap<AccountId, Flow>) -> Option<(WaitingId, f64)> {
         let queue = self.queues.iter().find(|queue| !queue.is_empty())?;
         queue
@@ -477,7 +481,7 @@
     usize::from(priority).min(PRIORITY_LEVELS - 1)
 }
 
-/// The work of those that were told to come back.
+/// The work of refused callers that were told when to return.
 #[derive(Debug, Default)]
 struct DeferredWork {
     cost: f64,
--- a/src/decide/recent.rs
+++ b/src/decide/recent.rs
@@ -1,4 +1,4 @@
-//! What accounts were served lately.
+//! The recent usage of each client account.
 
 use std::time::Instant;
 
@@ -6,19 +6,19 @@
 
 use crate::ids::AccountId;
 
-/// The time over which an account's use counts, in seconds: a few answers.
+/// The time constant of the decay of usage, in seconds: the time of a few answers.
 const DECAY_TIME_S: f64 = 10.0;
 
-/// How much of the endpoints an account had lately.
+/// An account's recent share of the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usage {
-    /// Less than half of an equal part.
+    /// At most half of an equal share.
     Light,
-    /// More.
+    /// More than half of an equal share.
     Heavy,
 }
 
-/// What accounts were served lately.
+/// The recent usage of each client account, decaying exponentially.
 #[derive(Debug, Default)]
 pub(super) struct RecentUsage {
     accounts: IndexMap<AccountId, (f64, Option<Instant>)>,
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,8 +1,9 @@
 //! The retry budget.
 //!
-//! Answers an outage's end: each failed request is tried again, by routers and by callers, and the tries are more work
-//! than the endpoints can do, so that they go on failing and being tried. Without it load grows by the number of tries
-//! for each layer that retries, and the overload outlives its cause. Retries may only be a share of first tries.
+//! Handles the end of an outage: routers and callers retry each failed request, and the retries are more work than the
+//! endpoints can do, so that requests go on failing and being retried. Without a budget the load is multiplied by the
+//! number of attempts at each layer that retries, and the overload outlasts its cause. The budget limits retries to a
+//! share of first attempts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,28 +11,29 @@
 use rand::Rng;
 use rand::RngExt;
 
-/// The retries allowed for each first try. A tenth adds at most a tenth to an overload, and covers one endpoint in
-/// twelve failing all that it gets, less what ejection saves.
+/// The retries allowed for each first attempt. A tenth adds at most a tenth to an overload. It covers one endpoint in
+/// twelve that fails all its requests, less those that ejection saves.
 const RETRY_RATIO: f64 = 0.1;
 
-/// Retries allowed a second, whatever the traffic: a quiet router would have none otherwise.
+/// The retries allowed each second regardless of traffic; a router with little traffic would have none otherwise.
 const MIN_RETRIES_PER_S: f64 = 1.0;
 
-/// The time over which requests are counted, and in which retries are bounded.
+/// The window, in seconds, over which the request rate is averaged and in which retries are limited.
 const WINDOW_S: f64 = 10.0;
 
-/// How long unused retries may be kept, so that at most a quarter more are made in one window than it allows: a burst of
-/// failures is covered, an outage is not. Kept for a whole window, they came on top of all that it allows itself.
+/// How many seconds' worth of unused retries are kept. A quarter of the window adds at most a quarter to the retries
+/// allowed in one window: it covers a burst of failures, but not an outage. A whole window's worth would be
+/// spent on top of the retries that the window itself allows.
 const BURST_S: f64 = WINDOW_S / 4.0;
 
-/// The wait before the first retry: longer than a lost connection takes to be noticed in a site (5 ms), far shorter
-/// than the time to the first token.
+/// The upper bound of the delay before the first retry: longer than it takes to notice a lost connection within a site
+/// (5 ms), and far shorter than the time to the first token.
 const BASE_DELAY: Duration = Duration::from_millis(25);
 
-/// The longest wait before a retry.
+/// The longest delay before a retry.
 const MAX_DELAY: Duration = Duration::from_secs(2);
 
-/// Retries as a share of recent requests.
+/// Limits retries to a share of recent requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     available: f64,
@@ -42,7 +44,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget that allows a few retries at first.
+    /// Creates a budget that allows a few retries at first.
     pub fn new(now: Instant) -> Self {
         Self {
             available: MIN_RETRIES_PER_S * BURST_S,
@@ -53,27 +55,27 @@
         }
     }
 
-    /// Allows so many retries for each first try, and so many a second whatever the traffic, from now on: a router's part of
-    /// what all of them may make together.
+    /// Sets the retries allowed for each first attempt, and each second regardless of traffic. These are one router's
+    /// part of the limits for all routers together.
     pub fn set_limits(&mut self, ratio: f64, min_rate: f64) {
         self.ratio = ratio;
         self.min_rate = min_rate;
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn record_request(&mut self, now: Instant) {
         self.advance(now);
         self.request_rate += 1.0 / WINDOW_S;
         self.available = (self.available + self.ratio).min(self.capacity());
     }
 
-    /// Returns whether a retry is left, without taking it.
+    /// Returns whether a retry is available, without taking it.
     pub fn has_retry(&mut self, now: Instant) -> bool {
         self.advance(now);
         self.available >= 1.0
     }
 
-    /// Takes one retry out of the budget and tells whether there was one.
+    /// Takes one retry from the budget, or returns false if none is available.
     pub fn try_retry(&mut self, now: Instant) -> bool {
         self.advance(now);
         if self.available < 1.0 {
@@ -83,8 +85,9 @@
         true
     }
 
-    /// Returns how long to wait before a retry, the first being number 1: anywhere up to a bound that doubles. Full
-    /// jitter, because the requests of one dead endpoint fail together and would all arrive together at the next.
+    /// Returns the delay before a retry, counted from 1: random, up to a bound that doubles with each retry. The jitter
+    /// covers the full range, because the requests of a dead endpoint fail together and would all reach the next
+    /// endpoint together.
     pub fn backoff<R>(&self, retry: u32, rng: &mut R) -> Duration
     where
         R: Rng,
