--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -1,10 +1,11 @@
-//! The queue of requests that wait for an endpoint.
+//! A bounded, weighted fair queue of requests that wait for an endpoint.
 //!
-//! Answers more work than the endpoints take: a burst, a hot client account or key, an overload that lasts. In a plain
-//! first-in-first-out queue the account that sends most gets most, a modest account waits behind all of it, and under a
-//! lasting overload every request waits until its deadline and is then run for nobody. Here teams share by virtual time
-//! (the cost of what was served, over the weight), accounts share within and across teams likewise, an account may fill
-//! only a part of the queue, and whoever would wait past the deadline is refused at once.
+//! Handles more work than the endpoints can take: a burst, a single client account or key with very many requests, or a
+//! lasting overload. In a plain FIFO queue the account that sends the most is served the most, a modest account waits
+//! behind all of that work, and under a lasting overload every request waits until its deadline and is then run
+//! although nobody waits for the answer. This queue shares by virtual time (the cost served, divided by the weight):
+//! among teams, and likewise among accounts within and across teams. One account may fill only a part of the queue, and
+//! a request that would wait past its deadline is refused at once.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -19,85 +20,86 @@
 use thiserror::Error;
 
 use crate::decide::drain::Drain;
-use crate::decide::recent::Recent;
+use crate::decide::recent::RecentUsage;
 use crate::decide::recent::Usage;
 use crate::ids::AccountId;
 use crate::ids::TeamId;
 use crate::tokens::Tokens;
 
-/// How many priorities there are, 0 (first) to 9 (last).
-const PRIORITIES: usize = 10;
+/// The number of priorities, 0 (first) to 9 (last).
+const PRIORITY_LEVELS: usize = 10;
 
-/// One account may have one in this many places. A quarter leaves room for the others however many requests one sends,
-/// and lets an account that is alone on a router still queue for a burst.
-const ACCOUNT_SHARE: usize = 4;
+/// One account may fill the queue's length divided by this. A quarter leaves room for other accounts however many
+/// requests one sends, and lets the only account of a router still queue a burst.
+const ACCOUNT_DIVISOR: usize = 4;
 
-/// Those refused together come back over so many times the time that they were told at least.
-const SPREAD: f64 = 1.5;
+/// The upper bound of the random factor on the time in a refusal, so that callers refused together do not all return
+/// together.
+const RETRY_JITTER: f64 = 1.5;
 
-/// How many times the estimated wait must fit before the deadline. The estimate swings with the drain; at 1, a third of
-/// those that waited reached their deadlines all the same and had waited for nothing, at 2 none did.
-const MARGIN: f64 = 2.0;
+/// How many times the estimated wait must fit before the deadline. The estimate fluctuates with the drain rate: at 1, a
+/// third of the requests that waited reached their deadlines anyway and had waited for nothing; at 2 none did.
+const WAIT_MARGIN: f64 = 2.0;
 
-/// How many that do not fit are looked at before a pop gives up. At some microseconds for a choice, looking at all of 430
-/// teams at each arrival in an overload would take a router's whole time.
-const TRIED: u32 = 8;
+/// How many requests a pop rejects as unfit before it gives up. A choice takes some microseconds, so examining all of
+/// 430 teams at each arrival during an overload would take all of a router's time.
+const MAX_MISSES: u32 = 8;
 
-/// How often teams and accounts that have nothing waiting and had next to nothing lately are forgotten.
-const SWEEP: Duration = Duration::from_secs(1);
+/// How often teams and accounts are dropped that have nothing waiting and were served next to nothing recently.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The shortest wait that a refusal asks for.
-const MIN_RETRY: f64 = 1.0;
+const MIN_RETRY_S: f64 = 1.0;
 
-/// The longest wait that a refusal asks for. Cut at half of it, a burst's callers came back too soon and were refused
+/// The longest wait that a refusal asks for. At half of this, the callers of a burst returned too soon and were refused
 /// again.
-const MAX_RETRY: f64 = 60.0;
+const MAX_RETRY_S: f64 = 60.0;
 
-/// The wait that is asked for before any drain was measured.
-const UNKNOWN_RETRY: f64 = 2.0;
+/// The wait that a refusal asks for before the drain rate is known.
+const DEFAULT_RETRY_S: f64 = 2.0;
 
-/// What is waiting and for how long it may.
+/// A waiting request's payer, caller, cost and deadline.
 #[derive(Clone, Debug)]
-pub struct Ticket {
-    /// Who pays.
+pub struct QueueTicket {
+    /// The team that pays.
     pub team: TeamId,
-    /// Who calls.
+    /// The client account that calls.
     pub account: AccountId,
     /// 0 (first) to 9 (last), among the requests of the same team.
     pub priority: u8,
-    /// The account's weight against other accounts'.
+    /// The account's weight relative to other accounts.
     pub weight: u32,
-    /// What it may cost.
+    /// The most that it may cost.
     pub cost: Tokens,
-    /// When waiting stops being of use.
+    /// When the request is given up.
     pub deadline: Instant,
 }
 
-/// Tells why a request may not wait.
+/// Why a request cannot be queued.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Full {
-    /// The queue has no place for it.
+pub enum PushError {
+    /// The queue is full.
     #[error("the queue is full")]
     Length {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
-    /// Its client account has filled its part of the queue.
+    /// The client account has filled its part of the queue.
     #[error("the client account has too many requests waiting")]
     Account {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
-    /// It would wait past its deadline.
+    /// The request would wait past its deadline.
     #[error("the wait would outlast the deadline")]
     Deadline {
-        /// When to come back.
+        /// How long to wait before the next attempt.
         retry_after: Duration,
     },
 }
 
-impl Full {
-    /// Returns when to come back.
+impl PushError {
+    /// Returns how long to wait before the next attempt.
     pub fn retry_after(&self) -> Duration {
         match self {
             Self::Length { retry_after }
@@ -107,104 +109,109 @@
     }
 }
 
-/// Names one waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place(u64);
+pub struct WaitingId(u64);
 
 #[derive(Debug)]
 struct Waiting<T> {
     item: T,
-    ticket: Ticket,
+    ticket: QueueTicket,
 }
 
-/// A team's or an account's part: its virtual time, and what it has waiting.
+/// The virtual time and the waiting work of a team or an account.
 #[derive(Clone, Debug, Default)]
-struct Part {
-    pass: f64,
+struct Flow {
+    vtime: f64,
     count: usize,
     cost: u64,
 }
 
 #[derive(Debug, Default)]
 struct Team {
-    part: Part,
-    lines: [IndexMap<AccountId, VecDeque<Place>>; PRIORITIES],
+    flow: Flow,
+    queues: [IndexMap<AccountId, VecDeque<WaitingId>>; PRIORITY_LEVELS],
 }
 
-/// A bounded queue, fair over teams and accounts.
+/// A bounded queue, fair among teams and accounts.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    length: usize,
-    waiting: IndexMap<Place, Waiting<T>>,
-    deadlines: BTreeSet<(Instant, Place)>,
+    max_len: usize,
+    waiting: IndexMap<WaitingId, Waiting<T>>,
+    deadlines: BTreeSet<(Instant, WaitingId)>,
     teams: IndexMap<TeamId, Team>,
-    accounts: IndexMap<AccountId, Part>,
-    /// Given up on to make room.
-    displaced: Vec<T>,
-    recent: Recent,
-    /// The virtual time: that of the last one served.
-    pass: f64,
-    swept: Option<Instant>,
+    accounts: IndexMap<AccountId, Flow>,
+    /// Evicted to make room.
+    evicted: Vec<T>,
+    recent: RecentUsage,
+    /// The virtual time of the request served last.
+    vtime: f64,
+    last_sweep: Option<Instant>,
     drain: Drain,
-    promised: Promised,
-    next: u64,
+    deferred: DeferredWork,
+    next_id: u64,
     rng: ChaCha8Rng,
 }
 
 impl<T> FairQueue<T> {
-    /// Makes an empty queue of at most `length` requests.
-    pub fn new(length: usize, rng: ChaCha8Rng) -> Self {
+    /// Creates an empty queue of at most `max_len` requests.
+    pub fn new(max_len: usize, rng: ChaCha8Rng) -> Self {
         Self {
-            length,
+            max_len,
             waiting: IndexMap::new(),
             deadlines: BTreeSet::new(),
             teams: IndexMap::new(),
             accounts: IndexMap::new(),
-            displaced: Vec::new(),
-            recent: Recent::default(),
-            pass: 0.0,
-            swept: None,
+            evicted: Vec::new(),
+            recent: RecentUsage::default(),
+            vtime: 0.0,
+            last_sweep: None,
             drain: Drain::default(),
-            promised: Promised::default(),
-            next: 0,
+            deferred: DeferredWork::default(),
+            next_id: 0,
             rng,
         }
     }
 
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns how many teams and accounts are remembered.
-    pub fn parts(&self) -> usize {
+    /// Returns the number of teams and accounts in memory.
+    pub fn flow_count(&self) -> usize {
         self.teams.len() + self.accounts.len()
     }
 
-    /// Lets a request wait.
+    /// Queues a request.
     ///
     /// # Errors
     ///
-    /// Why it may not, when the queue is full, its account has filled its part, or the wait would outlast its deadline.
-    pub fn push(&mut self, now: Instant, item: T, ticket: Ticket) -> Result<Place, Full> {
-        let wait = self.wait(now, &ticket);
-        if wait.is_some_and(|wait| now + wait.mul_f64(MARGIN) >= ticket.deadline) {
+    /// Returns an error if the queue is full, the account has filled its part, or the wait would outlast the deadline.
+    pub fn push(
+        &mut self,
+        now: Instant,
+        item: T,
+        ticket: QueueTicket,
+    ) -> Result<WaitingId, PushError> {
+        let wait = self.estimate_wait(now, &ticket);
+        if wait.is_some_and(|wait| now + wait.mul_f64(WAIT_MARGIN) >= ticket.deadline) {
             let retry_after = self.retry_after(now, wait, ticket.cost);
-            return Err(Full::Deadline { retry_after });
+            return Err(PushError::Deadline { retry_after });
         }
-        let mine = self.accounts.get(&ticket.account).map_or(0, |a| a.count);
-        if mine >= (self.length / ACCOUNT_SHARE).max(1) {
+        let own_count = self.accounts.get(&ticket.account).map_or(0, |a| a.count);
+        if own_count >= (self.max_len / ACCOUNT_DIVISOR).max(1) {
             let retry_after = self.retry_after(now, wait, ticket.cost);
-            return Err(Full::Account { retry_after });
+            return Err(PushError::Account { retry_after });
         }
-        if self.waiting.len() >= self.length && !self.make_room(mine) {
+        if self.waiting.len() >= self.max_len && !self.make_room(own_count) {
             let retry_after = self.retry_after(now, wait, ticket.cost);
-            return Err(Full::Length { retry_after });
+            return Err(PushError::Length { retry_after });
         }
         if self.is_empty() {
             self.drain.start(now);
@@ -212,25 +219,26 @@
         Ok(self.insert(item, ticket))
     }
 
-    /// Takes out the one to serve next.
+    /// Removes and returns the next request to serve.
     pub fn pop(&mut self, now: Instant) -> Option<T> {
         self.pop_where(now, |_, _| true)
     }
 
-    /// Takes out the one to serve next of those for which there is a place; `fits` is also told its account's usage.
+    /// Removes and returns the next request for which `fits` returns true; `fits` also gets the usage of the request's
+    /// account.
     ///
-    /// Without a choice, one request that may not go to the endpoint with room, having failed there, would keep all others
-    /// waiting. It looks at a few only: requests for one model belong in one queue, and when that model's endpoints are
-    /// full, each look at another request is for nothing.
+    /// Without the filter, one request that may not go to the only endpoint with room, because it failed there, would
+    /// block all others. Only a few requests are examined: a queue holds requests for one model, so when that model's
+    /// endpoints are full, examining more of them is wasted work.
     pub fn pop_where<F>(&mut self, now: Instant, mut fits: F) -> Option<T>
     where
         F: FnMut(&T, Usage) -> bool,
     {
-        let place = self.next_place(|place| {
-            let waiting = self.waiting.get(&place);
+        let id = self.find_next(|id| {
+            let waiting = self.waiting.get(&id);
             waiting.is_some_and(|w| fits(&w.item, self.usage(now, &w.ticket.account)))
         })?;
-        let waiting = self.take(place)?;
+        let waiting = self.remove(id)?;
         self.charge(now, &waiting.ticket);
         self.sweep(now);
         self.drain
@@ -238,172 +246,176 @@
         Some(waiting.item)
     }
 
-    /// Takes out those that are given up on: past their deadlines, or displaced by an account that has less waiting.
-    pub fn expired(&mut self, now: Instant) -> Vec<T> {
-        let mut given_up = std::mem::take(&mut self.displaced);
-        while let Some((deadline, place)) = self.deadlines.first().copied()
+    /// Removes and returns the requests that are past their deadlines or were evicted for an account with less waiting.
+    pub fn take_expired(&mut self, now: Instant) -> Vec<T> {
+        let mut expired = std::mem::take(&mut self.evicted);
+        while let Some((deadline, id)) = self.deadlines.first().copied()
             && deadline <= now
         {
-            given_up.extend(self.take(place).map(|w| w.item));
+            expired.extend(self.remove(id).map(|w| w.item));
         }
-        self.settle(now);
-        given_up
+        self.stop_if_empty(now);
+        expired
     }
 
-    /// Takes out one whose caller no longer waits.
-    pub fn cancel(&mut self, now: Instant, place: Place) -> Option<T> {
-        let item = self.take(place)?.item;
-        self.settle(now);
+    /// Removes a request whose caller no longer waits.
+    pub fn cancel(&mut self, now: Instant, id: WaitingId) -> Option<T> {
+        let item = self.remove(id)?.item;
+        self.stop_if_empty(now);
         Some(item)
     }
 
-    /// Returns when the next one is past its deadline.
+    /// Returns the earliest deadline.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Estimates how long a request would wait, once a drain was measured.
+    /// Estimates how long a request would wait, once the drain rate is known.
     ///
-    /// Ahead of it are the whole queue or, where that is less, what its own team has waiting, with as much of each other
-    /// team served beside it.
-    pub fn wait(&self, now: Instant, ticket: &Ticket) -> Option<Duration> {
+    /// The work ahead of it is what its own team has waiting, plus at most as much of each other team, since teams are
+    /// served in turn; at most the whole queue.
+    pub fn estimate_wait(&self, now: Instant, ticket: &QueueTicket) -> Option<Duration> {
         let rate = self.drain.rate(now)?;
-        let queued = self.teams.get(&ticket.team).map_or(0, |t| t.part.cost);
+        let queued = self.teams.get(&ticket.team).map_or(0, |t| t.flow.cost);
         let own = queued + ticket.cost.0;
-        let costs = self.teams.values().map(|t| t.part.cost);
+        let costs = self.teams.values().map(|t| t.flow.cost);
         let ahead: u64 = costs.map(|cost| cost.min(own)).sum();
         Some(Duration::from_secs_f64(
-            (ahead as f64 / rate).min(MAX_RETRY * 100.0),
+            (ahead as f64 / rate).min(MAX_RETRY_S * 100.0),
         ))
     }
 
-    /// Tells when to come back: when the queue has drained, and all that were told so before have come back too.
+    /// Returns how long to wait until the queue has drained and all callers that were refused before have been served
+    /// too.
     ///
-    /// Whoever is refused comes again. Told the same time, all of them would be refused again together.
+    /// Refused callers return. If all were given the same time, they would be refused together again.
     fn retry_after(&mut self, now: Instant, wait: Option<Duration>, cost: Tokens) -> Duration {
         let rate = self.drain.rate(now);
-        self.promised.pass(now, rate.unwrap_or_default());
-        self.promised.cost += cost.0 as f64;
-        let booked = rate.map_or(0.0, |rate| self.promised.cost / rate);
-        let wait = wait.map_or(UNKNOWN_RETRY, |w| w.as_secs_f64()) + booked;
-        let wait = wait.clamp(MIN_RETRY, MAX_RETRY);
-        Duration::from_secs_f64(wait * self.rng.random_range(1.0..SPREAD))
+        self.deferred.advance(now, rate.unwrap_or_default());
+        self.deferred.cost += cost.0 as f64;
+        let deferred_wait = rate.map_or(0.0, |rate| self.deferred.cost / rate);
+        let wait = wait.map_or(DEFAULT_RETRY_S, |w| w.as_secs_f64()) + deferred_wait;
+        let wait = wait.clamp(MIN_RETRY_S, MAX_RETRY_S);
+        Duration::from_secs_f64(wait * self.rng.random_range(1.0..RETRY_JITTER))
     }
 
-    /// Gives up the newest request of the account with most waiting, for the sake of an account with less.
-    fn make_room(&mut self, mine: usize) -> bool {
-        let Some((most, _)) = self
+    /// Evicts the newest request of the account with the most waiting, for an account with less.
+    fn make_room(&mut self, own_count: usize) -> bool {
+        let Some((largest, _)) = self
             .accounts
             .iter()
-            .filter(|(_, part)| part.count > mine + 1)
-            .max_by_key(|(_, part)| part.count)
+            .filter(|(_, flow)| flow.count > own_count + 1)
+            .max_by_key(|(_, flow)| flow.count)
         else {
             return false;
         };
         let newest = self
             .waiting
             .iter()
-            .filter(|(_, w)| w.ticket.account == *most)
-            .map(|(place, _)| *place)
+            .filter(|(_, w)| w.ticket.account == *largest)
+            .map(|(id, _)| *id)
             .max();
-        let Some(waiting) = newest.and_then(|place| self.take(place)) else {
+        let Some(waiting) = newest.and_then(|id| self.remove(id)) else {
             return false;
         };
-        self.displaced.push(waiting.item);
+        self.evicted.push(waiting.item);
         true
     }
 
-    fn insert(&mut self, item: T, ticket: Ticket) -> Place {
-        let place = Place(self.next);
-        self.next += 1;
-        self.deadlines.insert((ticket.deadline, place));
-        // Whoever had nothing waiting starts at the present: idle time earns no right to all of the endpoints later.
+    fn insert(&mut self, item: T, ticket: QueueTicket) -> WaitingId {
+        let id = WaitingId(self.next_id);
+        self.next_id += 1;
+        self.deadlines.insert((ticket.deadline, id));
+        // A flow with nothing waiting starts at the current virtual time: idle time does not entitle it to all
+        // endpoints later.
         let account = self.accounts.entry(ticket.account.clone()).or_default();
-        account.join(self.pass, &ticket);
+        account.add(self.vtime, &ticket);
         let team = self.teams.entry(ticket.team.clone()).or_default();
-        team.part.join(self.pass, &ticket);
-        team.lines[line(ticket.priority)]
+        team.flow.add(self.vtime, &ticket);
+        team.queues[level(ticket.priority)]
             .entry(ticket.account.clone())
             .or_default()
-            .push_back(place);
-        self.waiting.insert(place, Waiting { item, ticket });
-        place
+            .push_back(id);
+        self.waiting.insert(id, Waiting { item, ticket });
+        id
     }
 
-    fn take(&mut self, place: Place) -> Option<Waiting<T>> {
-        let waiting = self.waiting.swap_remove(&place)?;
+    fn remove(&mut self, id: WaitingId) -> Option<Waiting<T>> {
+        let waiting = self.waiting.swap_remove(&id)?;
         let ticket = &waiting.ticket;
-        self.deadlines.remove(&(ticket.deadline, place));
+        self.deadlines.remove(&(ticket.deadline, id));
         if let Some(account) = self.accounts.get_mut(&ticket.account) {
-            account.part(ticket);
+            account.remove(ticket);
         }
         if let Some(team) = self.teams.get_mut(&ticket.team) {
-            team.part.part(ticket);
-            team.forget(ticket, place);
+            team.flow.remove(ticket);
+            team.remove(ticket, id);
         }
         Some(waiting)
     }
 
-    /// Ends the measuring of the drain when nobody waits.
-    fn settle(&mut self, now: Instant) {
+    /// Stops measuring the drain rate when the queue is empty.
+    fn stop_if_empty(&mut self, now: Instant) {
         if self.is_empty() {
             self.drain.stop(now);
             self.sweep(now);
         }
     }
 
-    /// Forgets teams and accounts that have nothing waiting and are not ahead of the virtual time; all of them when nobody
-    /// waits, as nothing is shared then.
+    /// Drops teams and accounts that have nothing waiting and are not ahead of the virtual time, or all of them when
+    /// the queue is empty, since nothing is shared then.
     ///
-    /// One that was just served is ahead, and nothing of it may come again to remove it by: each of 430,000 teams would
-    /// stay for ever, and be looked at by each pop.
+    /// A flow that was just served is ahead, and may never send another request that would remove it. Without the sweep
+    /// each of 430,000 teams would stay for ever and be visited by each pop.
     fn sweep(&mut self, now: Instant) {
         if self.is_empty() {
             self.teams.clear();
             self.accounts.clear();
-            self.pass = 0.0;
+            self.vtime = 0.0;
         }
-        if self.swept.is_some_and(|at| now < at + SWEEP) {
+        if self
+            .last_sweep
+            .is_some_and(|last| now < last + SWEEP_INTERVAL)
+        {
             return;
         }
-        self.swept = Some(now);
-        let pass = self.pass;
-        let stays = |part: &Part| part.count > 0 || part.pass > pass;
-        self.teams.retain(|_, team| stays(&team.part));
-        self.accounts.retain(|_, part| stays(part));
+        self.last_sweep = Some(now);
+        let vtime = self.vtime;
+        let is_kept = |flow: &Flow| flow.count > 0 || flow.vtime > vtime;
+        self.teams.retain(|_, team| is_kept(&team.flow));
+        self.accounts.retain(|_, flow| is_kept(flow));
         self.recent.sweep(now);
     }
 
-    /// Tells whether an account used less than its part lately.
     fn usage(&self, now: Instant, account: &AccountId) -> Usage {
         self.recent.usage(now, account)
     }
 
-    /// Finds the first that fits of the first of each team, the team furthest behind first.
+    /// Finds the first fitting request among the teams' front requests, starting with the lowest virtual time.
     ///
-    /// A team's own virtual time is the least that its turn may come at; the account's, which costs a look, is looked at
-    /// only for teams whose turn it might be.
-    fn next_place<F>(&self, mut fits: F) -> Option<Place>
+    /// A team's own virtual time is the lower bound of its turn. The virtual time of its front account takes a lookup,
+    /// which is made only for teams whose turn it may be.
+    fn find_next<F>(&self, mut fits: F) -> Option<WaitingId>
     where
-        F: FnMut(Place) -> bool,
+        F: FnMut(WaitingId) -> bool,
     {
         let bounds = self.teams.values().enumerate();
         let mut turns: BinaryHeap<_> = bounds
-            .map(|(at, team)| Reverse((team.part.pass.to_bits(), at, None)))
+            .map(|(index, team)| Reverse((team.flow.vtime.to_bits(), index, None)))
             .collect();
-        let mut left = TRIED;
-        while left > 0
-            && let Some(Reverse((_, at, place))) = turns.pop()
+        let mut misses_left = MAX_MISSES;
+        while misses_left > 0
+            && let Some(Reverse((_, index, id))) = turns.pop()
         {
-            let team = &self.teams[at];
-            match place {
-                Some(place) if fits(place) => return Some(place),
-                Some(_) => left -= 1,
+            let team = &self.teams[index];
+            match id {
+                Some(id) if fits(id) => return Some(id),
+                Some(_) => misses_left -= 1,
                 None => {
                     let front = team.front(&self.accounts);
-                    turns.extend(front.map(|(place, pass)| {
-                        // Passes are never negative, so that their bits are in their order.
-                        Reverse((pass.max(team.part.pass).to_bits(), at, Some(place)))
+                    turns.extend(front.map(|(id, vtime)| {
+                        // Virtual times are never negative, so their bit patterns sort like the values.
+                        Reverse((vtime.max(team.flow.vtime).to_bits(), index, Some(id)))
                     }));
                 }
             }
@@ -411,76 +423,77 @@
         None
     }
 
-    /// Moves the virtual times on by what is served.
-    fn charge(&mut self, now: Instant, ticket: &Ticket) {
+    /// Advances the virtual times by the cost of a served request.
+    fn charge(&mut self, now: Instant, ticket: &QueueTicket) {
         let cost = ticket.cost.0.max(1) as f64;
         self.recent.charge(now, &ticket.account, cost);
         let account = self.accounts.entry(ticket.account.clone()).or_default();
         let team = self.teams.entry(ticket.team.clone()).or_default();
-        self.pass = self
-            .pass
-            .max(account.pass.max(team.part.pass).min(self.pass + cost));
-        account.pass = account.pass.max(self.pass) + cost / f64::from(ticket.weight.max(1));
-        team.part.pass = team.part.pass.max(self.pass) + cost;
+        self.vtime = self
+            .vtime
+            .max(account.vtime.max(team.flow.vtime).min(self.vtime + cost));
+        account.vtime = account.vtime.max(self.vtime) + cost / f64::from(ticket.weight.max(1));
+        team.flow.vtime = team.flow.vtime.max(self.vtime) + cost;
     }
 }
 
 impl Team {
-    /// Returns the one to serve next: of the best priority, the account furthest behind.
-    fn front(&self, accounts: &IndexMap<AccountId, Part>) -> Option<(Place, f64)> {
-        let line = self.lines.iter().find(|line| !line.is_empty())?;
-        line.iter()
-            .filter_map(|(id, places)| Some((*places.front()?, accounts.get(id)?.pass)))
+    /// Returns the next request: from the best priority, that of the account with the lowest virtual time.
+    fn front(&self, accounts: &IndexMap<AccountId, Flow>) -> Option<(WaitingId, f64)> {
+        let queue = self.queues.iter().find(|queue| !queue.is_empty())?;
+        queue
+            .iter()
+            .filter_map(|(account, ids)| Some((*ids.front()?, accounts.get(account)?.vtime)))
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    fn forget(&mut self, ticket: &Ticket, place: Place) {
-        let lines = &mut self.lines[line(ticket.priority)];
-        let Some(line) = lines.get_mut(&ticket.account) else {
+    fn remove(&mut self, ticket: &QueueTicket, id: WaitingId) {
+        let queues = &mut self.queues[level(ticket.priority)];
+        let Some(queue) = queues.get_mut(&ticket.account) else {
             return;
         };
-        match line.front() {
-            Some(front) if *front == place => drop(line.pop_front()),
-            _ => line.retain(|p| *p != place),
+        match queue.front() {
+            Some(front) if *front == id => drop(queue.pop_front()),
+            _ => queue.retain(|p| *p != id),
         }
-        if line.is_empty() {
-            lines.swap_remove(&ticket.account);
+        if queue.is_empty() {
+            queues.swap_remove(&ticket.account);
         }
     }
 }
 
-impl Part {
-    fn join(&mut self, pass: f64, ticket: &Ticket) {
+impl Flow {
+    fn add(&mut self, vtime: f64, ticket: &QueueTicket) {
         if self.count == 0 {
-            self.pass = self.pass.max(pass);
+            self.vtime = self.vtime.max(vtime);
         }
         self.count += 1;
         self.cost += ticket.cost.0;
     }
 
-    fn part(&mut self, ticket: &Ticket) {
+    fn remove(&mut self, ticket: &QueueTicket) {
         self.count -= 1;
         self.cost -= ticket.cost.0;
     }
 }
 
-fn line(priority: u8) -> usize {
-    usize::from(priority).min(PRIORITIES - 1)
+fn level(priority: u8) -> usize {
+    usize::from(priority).min(PRIORITY_LEVELS - 1)
 }
 
-/// The work of those that were told to come back.
+/// The work of refused callers that were told when to return.
 #[derive(Debug, Default)]
-struct Promised {
+struct DeferredWork {
     cost: f64,
-    at: Option<Instant>,
+    updated: Option<Instant>,
 }
 
-impl Promised {
-    fn pass(&mut self, now: Instant, rate: f64) {
+impl DeferredWork {
+    fn advance(&mut self, now: Instant, rate: f64) {
         let passed = self
-            .at
+            .updated
             .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
         self.cost = (self.cost - passed * rate).max(0.0);
-        self.at = Some(now);
+        self.updated = Some(now);
     }
 }
--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -45,7 +45,7 @@
 impl Core {
     /// Handles a caller's request.
     pub(crate) fn handle_arrival(&mut self, now: Instant, arrival: Arrival) {
-        self.retries.request(now);
+        self.retries.record_request(now);
         let id = arrival.id;
         match self.admit(now, &arrival) {
             Ok(request) => {
@@ -109,7 +109,7 @@
         self.accounts
             .entry(account.clone())
             .or_insert_with(|| AccountLimit::new(now, &limits.unwrap_or_default()))
-            .try_enter(now)
+            .try_acquire(now)
     }
 
     /// Returns the address of the router that holds the claim on a request's key, if there is one.
@@ -342,7 +342,7 @@
     /// Stops counting one request against an account's limit.
     pub(crate) fn leave_account(&mut self, account: &AccountId) {
         if let Entry::Occupied(mut limit) = self.accounts.entry(account.clone()) {
-            limit.get_mut().leave();
+            limit.get_mut().release();
         }
     }
 }
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -4,9 +4,9 @@
 
 use rand::Rng;
 
-use crate::decide::Caps;
 use crate::decide::Choice;
 use crate::decide::Chooser;
+use crate::decide::EjectionLimits;
 use crate::decide::Ejector;
 use crate::decide::Isolation;
 use crate::decide::PrefixIndex;
@@ -43,7 +43,7 @@
         Self {
             chooser: Chooser::new(router),
             index: PrefixIndex::new(),
-            health: Ejector::new(Caps::default()),
+            health: Ejector::new(EjectionLimits::default()),
         }
     }
 
@@ -62,7 +62,7 @@
     {
         let blocks = blocks(request);
         let forbidden = self.forbidden(request, quarantine, site);
-        let avoided = quarantine.avoid(request.fingerprint);
+        let avoided = quarantine.avoided_endpoints(request.fingerprint);
         let mut choose = |excluded: &[VmId]| {
             let wish = Wish {
                 model: model(request),
@@ -96,7 +96,7 @@
         }
         let mine = |vm: &VmId| suspect_router(site.routers, vm) == Some(site.router);
         let (owned, others): (Vec<_>, Vec<_>) = self.chooser.vms().cloned().partition(mine);
-        let mut forbidden = quarantine.forbid(request.fingerprint);
+        let mut forbidden = quarantine.forbidden_endpoints(request.fingerprint);
         // With fewer endpoints than routers some router owns none, and its suspects run where they can.
         if !owned.is_empty() {
             forbidden.extend(others);
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -6,12 +6,11 @@
 use jasmineridge::Action;
 use jasmineridge::BlockHash;
 use jasmineridge::CacheEvent;
-use jasmineridge::Caps;
 use jasmineridge::Chooser;
 use jasmineridge::DomainId;
+use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::EndpointLimit;
-use jasmineridge::Evidence;
 use jasmineridge::Fingerprint;
 use jasmineridge::Health;
 use jasmineridge::HoldingPolicy;
@@ -19,6 +18,7 @@
 use jasmineridge::Lean;
 use jasmineridge::Limits;
 use jasmineridge::Load;
+use jasmineridge::Observation;
 use jasmineridge::Peer;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Quarantine;
@@ -47,22 +47,22 @@
         weight: 1,
     };
     let mut limit = AccountLimit::new(now, &limits);
-    assert_eq!(limit.try_enter(now), Ok(()));
-    assert_eq!(limit.try_enter(now), Ok(()));
+    assert_eq!(limit.try_acquire(now), Ok(()));
+    assert_eq!(limit.try_acquire(now), Ok(()));
     let waits: Vec<_> = (0..3)
-        .map(|_| limit.try_enter(now).unwrap_err().retry_after())
+        .map(|_| limit.try_acquire(now).unwrap_err().retry_after())
         .collect();
     assert_eq!(waits, [ms(100), ms(200), ms(300)]);
-    assert_eq!(limit.try_enter(now + ms(100)), Ok(()));
-    assert!(limit.try_enter(now + ms(1000)).is_err(), "three are in");
-    limit.leave();
-    assert_eq!(limit.try_enter(now + ms(1000)), Ok(()));
+    assert_eq!(limit.try_acquire(now + ms(100)), Ok(()));
+    assert!(limit.try_acquire(now + ms(1000)).is_err(), "three are in");
+    limit.release();
+    assert_eq!(limit.try_acquire(now + ms(1000)), Ok(()));
 }
 
 fn pool(count: usize) -> (Chooser, Ejector, Vec<VmId>, DomainId) {
     let domain: DomainId = name("d0");
     let mut chooser = Chooser::new(&name("router"));
-    let mut ejector = Ejector::new(Caps::default());
+    let mut ejector = Ejector::new(EjectionLimits::default());
     let vms: Vec<VmId> = (0..count).map(|n| name(&format!("e{n}"))).collect();
     for vm in &vms {
         chooser.put(vm, &domain, &[name("m")], 4);
@@ -161,7 +161,7 @@
     while now < begin + Duration::from_secs(60) {
         if ejector.health(now, &vms[0]) != Health::Out {
             trials.push(now);
-            ejector.record(now, &vms[0], Evidence::Failed, &mut rng);
+            ejector.record(now, &vms[0], Observation::Failed, &mut rng);
         }
         now += ms(100);
     }
@@ -172,7 +172,7 @@
     );
     while ejector.health(now, &vms[0]) != Health::In {
         now += ms(1000);
-        ejector.record(now, &vms[0], Evidence::Answered(ms(100)), &mut rng);
+        ejector.record(now, &vms[0], Observation::Answered(ms(100)), &mut rng);
         assert!(now < begin + Duration::from_secs(400));
     }
 }
@@ -186,7 +186,7 @@
     for n in 0..4000 {
         let now = now + ms(n);
         for vm in &vms {
-            ejector.record(now, vm, Evidence::Checked(false), &mut rng);
+            ejector.record(now, vm, Observation::Checked(false), &mut rng);
         }
         assert!(ejector.ejected() <= 3);
     }
@@ -201,7 +201,7 @@
     let mut retries = 0;
     for _ in 0..10_000 {
         now += ms(10);
-        budget.request(now);
+        budget.record_request(now);
         while budget.try_retry(now) {
             retries += 1;
         }
@@ -220,7 +220,7 @@
     let mut retries = 0;
     for at in 0..4000 {
         now += ms(10);
-        budget.request(now);
+        budget.record_request(now);
         while at >= 3000 && budget.try_retry(now) {
             retries += 1;
         }
@@ -389,16 +389,22 @@
     let mut quarantine = Quarantine::new();
     quarantine.start(poison, &e0);
     quarantine.start(innocent, &e0);
-    assert_eq!(quarantine.crash(now, &e0).len(), 2);
-    assert_eq!(quarantine.isolation(innocent), Isolation::Apart);
+    assert_eq!(quarantine.record_crash(now, &e0).len(), 2);
+    assert_eq!(quarantine.isolation(innocent), Isolation::Isolated);
     quarantine.start(poison, &e1);
-    assert_eq!(quarantine.forbid(innocent), std::slice::from_ref(&e1));
-    assert_eq!(quarantine.avoid(later), std::slice::from_ref(&e1));
+    assert_eq!(
+        quarantine.forbidden_endpoints(innocent),
+        std::slice::from_ref(&e1)
+    );
+    assert_eq!(
+        quarantine.avoided_endpoints(later),
+        std::slice::from_ref(&e1)
+    );
     quarantine.start(later, &e1);
     quarantine.start(innocent, &e2);
     quarantine.complete(innocent, &e2);
     assert_eq!(quarantine.isolation(innocent), Isolation::None);
-    assert_eq!(quarantine.crash(now + ms(5000), &e1), [poison]);
+    assert_eq!(quarantine.record_crash(now + ms(5000), &e1), [poison]);
     assert_eq!(quarantine.isolation(poison), Isolation::Refused);
     assert_eq!(quarantine.isolation(later), Isolation::None);
 }
@@ -412,9 +418,9 @@
         quarantine.start(Fingerprint(n), &name(&format!("e{n}")));
     }
     for n in 0..4 {
-        quarantine.crash(now + ms(n * 100), &name(&format!("e{n}")));
+        quarantine.record_crash(now + ms(n * 100), &name(&format!("e{n}")));
     }
     quarantine.start(Fingerprint(0), &name("e5"));
-    quarantine.crash(now + ms(900), &name("e5"));
-    assert_eq!(quarantine.isolation(Fingerprint(0)), Isolation::Apart);
+    quarantine.record_crash(now + ms(900), &name("e5"));
+    assert_eq!(quarantine.isolation(Fingerprint(0)), Isolation::Isolated);
 }
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -11,13 +11,13 @@
 use jasmineridge::Chooser;
 use jasmineridge::DomainId;
 use jasmineridge::Ejector;
-use jasmineridge::Evidence;
 use jasmineridge::FairQueue;
 use jasmineridge::Load;
+use jasmineridge::Observation;
 use jasmineridge::PrefixIndex;
+use jasmineridge::QueueTicket;
 use jasmineridge::RetryBudget;
 use jasmineridge::Sample;
-use jasmineridge::Ticket;
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
@@ -111,7 +111,7 @@
     /// Returns those that the router gives up on.
     pub(crate) fn given_up(&mut self, now: Instant) -> Vec<usize> {
         match self {
-            Self::Ours(ours) => ours.queue.expired(now),
+            Self::Ours(ours) => ours.queue.take_expired(now),
             Self::Plain(_) => Vec::new(),
         }
     }
@@ -139,7 +139,7 @@
         if let Self::Ours(ours) = self
             && let Some(limit) = ours.limits.get_mut(&job.account)
         {
-            limit.leave();
+            limit.release();
         }
     }
 
@@ -147,7 +147,7 @@
         if let Self::Ours(ours) = self {
             let vm = ours.vms[engine].clone();
             ours.ejector
-                .record(now, &vm, Evidence::Answered(time), &mut ours.rng);
+                .record(now, &vm, Observation::Answered(time), &mut ours.rng);
         }
     }
 
@@ -169,7 +169,7 @@
             Self::Ours(ours) => {
                 let vm = ours.vms[engine].clone();
                 ours.ejector
-                    .record(now, &vm, Evidence::Checked(passed), &mut ours.rng);
+                    .record(now, &vm, Observation::Checked(passed), &mut ours.rng);
             }
             Self::Plain(plain) => plain.out[engine] = !passed,
         }
@@ -231,10 +231,10 @@
     fn arrive(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         let limit = &mut self.limits[&job.account];
         if job.excluded.is_empty() {
-            limit.try_enter(now).map_err(|r| r.retry_after())?;
-            self.budget.request(now);
+            limit.try_acquire(now).map_err(|r| r.retry_after())?;
+            self.budget.record_request(now);
         }
-        let ticket = Ticket {
+        let ticket = QueueTicket {
             team: job.team.clone(),
             account: job.account.clone(),
             priority: 5,
@@ -243,7 +243,7 @@
             deadline: job.deadline,
         };
         self.queue.push(now, id, ticket).map(drop).map_err(|full| {
-            limit.leave();
+            limit.release();
             full.retry_after()
         })
     }
@@ -287,7 +287,7 @@
             }
             End::Failed | End::Refused => {
                 self.ejector
-                    .record(now, &vm, Evidence::Failed, &mut self.rng);
+                    .record(now, &vm, Observation::Failed, &mut self.rng);
                 Sample::Other
             }
             End::Cancelled => Sample::Other,
