--- a/src/decide/opening.rs
+++ b/src/decide/release.rs
@@ -14,34 +14,34 @@
 /// How much demand may be used at once beyond what was in use when a promise was written. A request that needs more waits
 /// some milliseconds for the next promise; half a second of demand, and two requests, stranded a fourteenth of all budgets
 /// at a death of all routers.
-const ROOM: Duration = Duration::from_millis(100);
+const BURST_WINDOW: Duration = Duration::from_millis(100);
 
 /// How much faster than its demand a router promises to use its grants at most. In a cut, bursts beyond it are refused; where
 /// a router dies, each tenth more strands a tenth of a second of its demand for each second that it is down.
-const HASTE: f64 = 1.1;
+const MAX_RATE_FACTOR: f64 = 1.1;
 
 /// After how long in a cut all that is held may be used, whatever the demand was before: callers that move to this router,
 /// and others that borrow, bring their own.
-const OPENED: Duration = Duration::from_secs(40);
+const FULL_RELEASE: Duration = Duration::from_secs(40);
 
 /// What opens of a holding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opening {
+pub struct ReleaseLimit {
     /// How much at once, beyond what is in use.
-    pub room: Tokens,
+    pub burst: Tokens,
     /// How much more each second.
     pub rate: TokenRate,
 }
 
 /// Decides how a holding opens of which so much is not in use, with a demand in tokens a second, where a cut may last so
 /// long.
-pub fn opening(demand: f64, held: Tokens, cut: Duration) -> Opening {
+pub fn release_limit(demand: f64, held: Tokens, cut: Duration) -> ReleaseLimit {
     let held = held.0 as f64;
-    let spread = held / cut.as_secs_f64();
-    let rate = (demand * HASTE).min(spread);
-    let rate = rate.max(held / OPENED.as_secs_f64());
-    Opening {
-        room: Tokens((demand * ROOM.as_secs_f64()) as u64),
+    let even_rate = held / cut.as_secs_f64();
+    let rate = (demand * MAX_RATE_FACTOR).min(even_rate);
+    let rate = rate.max(held / FULL_RELEASE.as_secs_f64());
+    ReleaseLimit {
+        burst: Tokens((demand * BURST_WINDOW.as_secs_f64()) as u64),
         rate: TokenRate(rate as u64),
     }
 }
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -6,7 +6,7 @@
 use crate::decide;
 use crate::decide::Action;
 use crate::decide::OWNERS;
-use crate::decide::Opening;
+use crate::decide::ReleaseLimit;
 use crate::decide::Share;
 use crate::decide::TEAM_OWNERS;
 use crate::escrow::Change;
@@ -121,7 +121,7 @@
             let promise = Pace {
                 made: made.own,
                 used: allowance.in_use(),
-                room: allowance.wanted().saturating_add(opening.room),
+                room: allowance.wanted().saturating_add(opening.burst),
                 rate: opening.rate,
                 fleet: made.fleet,
             };
@@ -224,11 +224,11 @@
         team: &TeamId,
         allowance: &Allowance,
         granted: Tokens,
-    ) -> Opening {
+    ) -> ReleaseLimit {
         let drawn = granted.saturating_sub(self.book.granted(team));
         let held = self.held(team).saturating_add(drawn);
         let flow = allowance.flow_rate(now).min(allowance.rate(now));
-        decide::opening(flow, held, COVER)
+        decide::release_limit(flow, held, COVER)
     }
 
     /// Returns whether the promise that stands is no longer what it should be.
