--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -79,7 +79,7 @@
 pub use queue::Full;
 pub use queue::Place;
 pub use queue::Ticket;
-pub use ration::Ration;
+pub use ration::PriorityDemand;
 pub use ration::Remainder;
 pub use recent::Usage;
 pub use release::ReleaseLimit;
--- a/src/decide/ration.rs
+++ b/src/decide/ration.rs
@@ -22,18 +22,18 @@
     /// How fast it is asked for, by requests of all priorities, in tokens a second.
     pub demand: f64,
     /// How long until there may be more.
-    pub lasts: Duration,
+    pub horizon: Duration,
 }
 
 /// How fast a budget is asked for, by priority.
 #[derive(Clone, Debug)]
-pub struct Ration {
+pub struct PriorityDemand {
     window: Duration,
     /// By priority, 0 being the first.
     demand: IndexMap<u8, Demand>,
 }
 
-impl Ration {
+impl PriorityDemand {
     /// Makes one that averages over a time and has seen nothing yet.
     pub fn new(window: Duration) -> Self {
         Self {
@@ -43,7 +43,7 @@
     }
 
     /// Counts a request that is expected to use so much.
-    pub fn expect(&mut self, now: Instant, priority: u8, amount: Tokens) {
+    pub fn record(&mut self, now: Instant, priority: u8, amount: Tokens) {
         let new = Demand::new(now, self.window);
         let demand = self.demand.entry(priority).or_insert(new);
         demand.add(now, amount);
@@ -55,21 +55,23 @@
     }
 
     /// Returns whether a request may be paid without taking what more urgent ones will need.
-    pub fn pays(&self, now: Instant, rest: &Remainder, priority: u8, amount: Tokens) -> bool {
-        let kept = rest.demand * self.ahead(now, priority) * rest.lasts.as_secs_f64();
-        rest.left.saturating_sub(amount).0 as f64 >= kept
+    pub fn admits(&self, now: Instant, budget: &Remainder, priority: u8, amount: Tokens) -> bool {
+        let reserved = budget.demand
+            * self.higher_priority_share(now, priority)
+            * budget.horizon.as_secs_f64();
+        budget.left.saturating_sub(amount).0 as f64 >= reserved
     }
 
     /// Returns how fast requests that are more urgent than a priority ask for the budget, in tokens a second.
-    pub fn urgent(&self, now: Instant, priority: u8) -> f64 {
-        let urgent = self.demand.iter().filter(|(of, _)| **of < priority);
-        urgent.map(|(_, demand)| demand.rate(now)).sum()
+    pub fn higher_priority_rate(&self, now: Instant, priority: u8) -> f64 {
+        let above = self.demand.iter().filter(|(of, _)| **of < priority);
+        above.map(|(_, demand)| demand.rate(now)).sum()
     }
 
     /// Returns the part of the demand, of 1, that is more urgent than a priority.
-    fn ahead(&self, now: Instant, priority: u8) -> f64 {
+    fn higher_priority_share(&self, now: Instant, priority: u8) -> f64 {
         match self.rate(now) {
-            rate if rate > 0.0 => self.urgent(now, priority) / rate,
+            rate if rate > 0.0 => self.higher_priority_rate(now, priority) / rate,
             _ => 0.0,
         }
     }
--- a/src/router/allowance.rs
+++ b/src/router/allowance.rs
@@ -7,7 +7,7 @@
 use crate::decide;
 use crate::decide::Borrowers;
 use crate::decide::Demand;
-use crate::decide::Ration;
+use crate::decide::PriorityDemand;
 use crate::ids::RequestId;
 use crate::router::event::AdminId;
 use crate::router::event::LoanAsk;
@@ -64,7 +64,7 @@
     pub(crate) spent: Tokens,
     pub(crate) waiting: VecDeque<Waiting>,
     /// What it is asked for, by priority, by callers here and at routers that borrow.
-    pub(crate) ration: Ration,
+    pub(crate) ration: PriorityDemand,
     /// What it is asked for by callers here.
     own: Demand,
     /// What is promised and lent of it, whoever asked.
@@ -88,7 +88,7 @@
             reserved: Tokens::ZERO,
             spent: Tokens::ZERO,
             waiting: VecDeque::new(),
-            ration: Ration::new(WINDOW),
+            ration: PriorityDemand::new(WINDOW),
             own: Demand::new(now, WINDOW),
             flow: Demand::new(now, WINDOW),
             asked: Tokens::ZERO,
@@ -136,7 +136,7 @@
     pub(crate) fn expect(&mut self, now: Instant, priority: u8, amount: Tokens) {
         self.first.get_or_insert(now);
         let used = Tokens((amount.0 as f64 * self.part) as u64);
-        self.ration.expect(now, priority, used);
+        self.ration.record(now, priority, used);
         self.own.add(now, used);
         self.asked = self.asked.saturating_add(used);
     }
@@ -146,7 +146,7 @@
         self.first.get_or_insert(now);
         let new = self.borrowers.ask(ask.borrower, ask.asked, ask.amount);
         let part = Tokens(new.0 / owners.max(1));
-        self.ration.expect(now, ask.priority, part);
+        self.ration.record(now, ask.priority, part);
     }
 
     /// Adds a question to one under the same number that waits; returns whether there is one.
--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -12,7 +12,7 @@
 use crate::decide::Candidate;
 use crate::decide::HoldingPolicy;
 use crate::decide::Lean;
-use crate::decide::Ration;
+use crate::decide::PriorityDemand;
 use crate::escrow::Book;
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
@@ -193,7 +193,7 @@
             return Reserve::Done;
         }
         allowance.expect(now, priority, amount);
-        if !allowance.ration.pays(now, &rest, priority, amount) {
+        if !allowance.ration.admits(now, &rest, priority, amount) {
             return Reserve::Kept;
         }
         if available < amount {
@@ -434,9 +434,11 @@
 
 /// Returns what more urgent requests than those of a priority find open. In touch with the log more is opened by the next
 /// promise; in a cut it opens slowly, and the less urgent would use up each bit of it.
-pub(super) fn kept_open(away: bool, now: Instant, ration: &Ration, priority: u8) -> Tokens {
+pub(super) fn kept_open(away: bool, now: Instant, ration: &PriorityDemand, priority: u8) -> Tokens {
     match away {
-        true => Tokens((ration.urgent(now, priority) * KEPT_OPEN.as_secs_f64()) as u64),
+        true => {
+            Tokens((ration.higher_priority_rate(now, priority) * KEPT_OPEN.as_secs_f64()) as u64)
+        }
         false => Tokens::ZERO,
     }
 }
--- a/src/router/owned.rs
+++ b/src/router/owned.rs
@@ -152,7 +152,10 @@
         if allowance.join_waiting(id, ask) {
             return None;
         }
-        if !allowance.ration.pays(now, &rest, ask.priority, ask.amount) {
+        if !allowance
+            .ration
+            .admits(now, &rest, ask.priority, ask.amount)
+        {
             return Some(Tokens::ZERO);
         }
         let first = allowance.waiting.is_empty();
--- a/src/router/rationing.rs
+++ b/src/router/rationing.rs
@@ -165,7 +165,7 @@
         Remainder {
             left,
             demand: self.team_demand(now, team),
-            lasts: match self.cut_left(now) {
+            horizon: match self.cut_left(now) {
                 Some(left) => left,
                 None if self.is_mostly_lost(team, left) => LAST,
                 None => Duration::ZERO,
--- a/tests/decisions/ration.rs
+++ b/tests/decisions/ration.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use indexmap::IndexMap;
-use jasmineridge::Ration;
+use jasmineridge::PriorityDemand;
 use jasmineridge::Remainder;
 use jasmineridge::Tokens;
 use rand::RngExt;
@@ -59,7 +59,7 @@
 fn play(paid: Paid, held: f64) -> IndexMap<u8, f64> {
     let mut rng = rng();
     let mut now = start();
-    let mut ration = Ration::new(WINDOW);
+    let mut ration = PriorityDemand::new(WINDOW);
     let demand: f64 = KINDS.iter().map(|kind| kind.rate * kind.size as f64).sum();
     let mut left = Tokens((demand * held) as u64);
     let warm = now + Duration::from_secs(15);
@@ -72,12 +72,12 @@
                 continue;
             }
             let size = Tokens(rng.random_range(kind.size / 2..kind.size * 3 / 2));
-            ration.expect(now, kind.priority, size);
+            ration.record(now, kind.priority, size);
             if now < warm {
                 continue;
             }
             let rest = rest(left, &ration, now, end);
-            let pays = paid == Paid::InOrder || ration.pays(now, &rest, kind.priority, size);
+            let pays = paid == Paid::InOrder || ration.admits(now, &rest, kind.priority, size);
             let (asked, had) = served.entry(kind.priority).or_default();
             *asked += 1;
             if pays && size <= left {
@@ -92,11 +92,11 @@
         .collect()
 }
 
-fn rest(left: Tokens, ration: &Ration, now: Instant, end: Instant) -> Remainder {
+fn rest(left: Tokens, ration: &PriorityDemand, now: Instant, end: Instant) -> Remainder {
     Remainder {
         left,
         demand: ration.rate(now),
-        lasts: end.saturating_duration_since(now),
+        horizon: end.saturating_duration_since(now),
     }
 }
 
@@ -126,12 +126,12 @@
 #[test]
 fn a_lone_request_is_served() {
     let now = start();
-    let mut ration = Ration::new(WINDOW);
-    ration.expect(now, 2, Tokens(100));
+    let mut ration = PriorityDemand::new(WINDOW);
+    ration.record(now, 2, Tokens(100));
     let rest = Remainder {
         left: Tokens(100),
         demand: ration.rate(now),
-        lasts: CUT,
+        horizon: CUT,
     };
-    assert!(ration.pays(now, &rest, 2, Tokens(100)));
+    assert!(ration.admits(now, &rest, 2, Tokens(100)));
 }
