--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -5,43 +5,43 @@
 use crate::tokens::Tokens;
 
 /// The time over which the drain rate is averaged: several answers, so that one long one does not swing it.
-const DRAIN_WINDOW: f64 = 5.0;
+const WINDOW_SECS: f64 = 5.0;
 
 /// The time that must have been measured before the rate is believed.
-const MIN_MEASURE: f64 = 0.25;
+const MIN_MEASURED_SECS: f64 = 0.25;
 
 /// Measures how fast the queue drains while something waits in it.
 #[derive(Debug, Default)]
-pub(super) struct Drain {
+pub(super) struct DrainRate {
     cost: f64,
     time: f64,
     since: Option<Instant>,
 }
 
-impl Drain {
+impl DrainRate {
     pub(super) fn start(&mut self, now: Instant) {
         self.since = Some(now);
     }
 
     pub(super) fn stop(&mut self, now: Instant) {
-        self.pass(now);
+        self.advance(now);
         self.since = None;
     }
 
-    pub(super) fn served(&mut self, now: Instant, cost: Tokens, empty: bool) {
-        self.pass(now);
+    pub(super) fn record(&mut self, now: Instant, cost: Tokens, empty: bool) {
+        self.advance(now);
         self.cost += cost.0.max(1) as f64;
         if empty {
             self.since = None;
         }
     }
 
-    fn pass(&mut self, now: Instant) {
+    fn advance(&mut self, now: Instant) {
         let Some(since) = self.since else { return };
-        let passed = now.saturating_duration_since(since).as_secs_f64();
-        let kept = (-passed / DRAIN_WINDOW).exp();
-        self.cost *= kept;
-        self.time = self.time * kept + passed;
+        let elapsed = now.saturating_duration_since(since).as_secs_f64();
+        let decay = (-elapsed / WINDOW_SECS).exp();
+        self.cost *= decay;
+        self.time = self.time * decay + elapsed;
         self.since = Some(now);
     }
 
@@ -51,6 +51,6 @@
             .since
             .map_or(0.0, |s| now.saturating_duration_since(s).as_secs_f64());
         let time = self.time + idle;
-        (self.cost > 0.0 && time > MIN_MEASURE).then(|| self.cost / time)
+        (self.cost > 0.0 && time > MIN_MEASURED_SECS).then(|| self.cost / time)
     }
 }
--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::decide::demand::Demand;
-use crate::decide::demand::seen;
+use crate::decide::demand::observed_fraction;
 use crate::decide::hasher::FastHasher;
 use crate::decide::prefill::Prefill;
 use crate::decide::prefill::Prompt;
@@ -59,7 +59,7 @@
     /// Returns how many tokens they have a second, apart from the part. A demand that just began is known within a second,
     /// before its home is seconds behind.
     fn rate(&self, now: Instant) -> f64 {
-        self.demand.rate(now) / seen(now, self.first, WINDOW)
+        self.demand.rate(now) / observed_fraction(now, self.first, WINDOW)
     }
 }
 
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -51,7 +51,7 @@
 pub use concurrency::EndpointLimit;
 pub use concurrency::Sample;
 pub(crate) use demand::Demand;
-pub(crate) use demand::seen;
+pub(crate) use demand::observed_fraction;
 pub(crate) use hasher::FastHasher;
 pub use health::Caps;
 pub use health::Ejector;
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -18,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 use thiserror::Error;
 
-use crate::decide::drain::Drain;
+use crate::decide::drain::DrainRate;
 use crate::decide::recent::Recent;
 use crate::decide::recent::Usage;
 use crate::ids::AccountId;
@@ -145,7 +145,7 @@
     /// The virtual time: that of the last one served.
     pass: f64,
     swept: Option<Instant>,
-    drain: Drain,
+    drain: DrainRate,
     promised: Promised,
     next: u64,
     rng: ChaCha8Rng,
@@ -164,7 +164,7 @@
             recent: Recent::default(),
             pass: 0.0,
             swept: None,
-            drain: Drain::default(),
+            drain: DrainRate::default(),
             promised: Promised::default(),
             next: 0,
             rng,
@@ -234,7 +234,7 @@
         self.charge(now, &waiting.ticket);
         self.sweep(now);
         self.drain
-            .served(now, waiting.ticket.cost, self.waiting.is_empty());
+            .record(now, waiting.ticket.cost, self.waiting.is_empty());
         Some(waiting.item)
     }
 
--- a/src/router/allowance.rs
+++ b/src/router/allowance.rs
@@ -111,7 +111,7 @@
     /// first seconds would find grants that are far too small.
     fn seen_whole(&self, now: Instant, rate: f64) -> f64 {
         let first = self.first.unwrap_or(now);
-        rate / decide::seen(now, first, WINDOW)
+        rate / decide::observed_fraction(now, first, WINDOW)
     }
 
     /// Returns how fast it goes to those that ask for it, in tokens a second. Of a budget that runs low that is less than they
