--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -189,21 +189,23 @@
     ) -> Option<(u64, Instant)> {
         self.homes.ask(now, prompt);
         let prefill = &mut self.endpoints.get_mut(&choice.endpoint)?.prefill;
-        let unread = prefill.unread(now, prompt, choice.home);
-        Some((unread, prefill.send(now, prompt.shared, unread)))
+        let unread = prefill.uncached_tokens(now, prompt, choice.home);
+        Some((unread, prefill.record_sent(now, prompt.shared, unread)))
     }
 
     /// Counts a prompt that another router sent to an endpoint, of which so many tokens were unread.
     pub fn told(&mut self, now: Instant, vm: &VmId, shared: u64, unread: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
-            endpoint.prefill.send(now, shared, unread);
+            endpoint.prefill.record_sent(now, shared, unread);
         }
     }
 
     /// Learns from a first token.
     pub fn came(&mut self, now: Instant, vm: &VmId, sent: Instant, expected: Instant, unread: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
-            endpoint.prefill.came(now, sent, expected, unread);
+            endpoint
+                .prefill
+                .record_first_token(now, sent, expected, unread);
         }
     }
 
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -110,14 +110,14 @@
         home: bool,
     ) -> Duration {
         let prefill = &self.prefill;
-        let unread = prefill.unread(now, prompt, home);
-        let again = prefill.time(unread - prompt.own).mul_f64(AGAIN);
+        let unread = prefill.uncached_tokens(now, prompt, home);
+        let again = prefill.time(unread - prompt.own_tokens).mul_f64(AGAIN);
         let running = RUNNING * self.own.active();
         let way = match self.domain == *domain {
             true => Duration::ZERO,
             false => FARTHER,
         };
-        prefill.wait(now) + prefill.time(prompt.own) + again + running + way
+        prefill.wait(now) + prefill.time(prompt.own_tokens) + again + running + way
     }
 
     pub(super) fn load(&self, now: Instant) -> f64 {
--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -81,7 +81,7 @@
     pub(crate) fn ask(&mut self, now: Instant, prompt: &Prompt) {
         let asked = self.asked.entry(prompt.shared);
         let asked = asked.or_insert_with(|| Asked::new(now));
-        asked.demand.add(now, Tokens(prompt.own));
+        asked.demand.add(now, Tokens(prompt.own_tokens));
         if self.asked.len() > COUNTED {
             self.forget(now);
         }
--- a/tests/decisions/cold.rs
+++ b/tests/decisions/cold.rs
@@ -85,8 +85,8 @@
         }
         let prompt = Prompt {
             shared: rng.random_range(0..1000),
-            common: 2000,
-            own: 500,
+            shared_tokens: 2000,
+            own_tokens: 500,
         };
         let wish = Wish {
             model: None,
--- a/tests/decisions/homes.rs
+++ b/tests/decisions/homes.rs
@@ -141,8 +141,8 @@
             fleet.now += ms(40);
             let prompt = Prompt {
                 shared,
-                common: 5000,
-                own: 1000,
+                shared_tokens: 5000,
+                own_tokens: 1000,
             };
             engines.insert(fleet.send(prompt).0);
         }
@@ -165,8 +165,8 @@
         fleet.now += ms(5);
         let prompt = Prompt {
             shared: 7,
-            common: 5000,
-            own: 5000,
+            shared_tokens: 5000,
+            own_tokens: 5000,
         };
         let (vm, wait) = fleet.send(prompt);
         // Within five seconds the demand is known.
--- a/tests/decisions/prefill.rs
+++ b/tests/decisions/prefill.rs
@@ -47,13 +47,13 @@
             .parts
             .iter()
             .any(|parts| parts.contains(&prompt.shared));
-        let mut tokens = prompt.own;
+        let mut tokens = prompt.own_tokens;
         if !known {
-            tokens += prompt.common;
+            tokens += prompt.shared_tokens;
             self.parts[at].push(prompt.shared);
         }
         if !known && elsewhere {
-            self.read_again += prompt.common;
+            self.read_again += prompt.shared_tokens;
         }
         let time = Duration::from_secs_f64(tokens as f64 / SPEED);
         self.until[at] = self.until[at].max(now) + time;
@@ -96,8 +96,8 @@
         let long = rng.random_bool(0.2);
         let prompt = Prompt {
             shared: rng.random_range(0..100),
-            common: if long { 5000 } else { 200 },
-            own: if long {
+            shared_tokens: if long { 5000 } else { 200 },
+            own_tokens: if long {
                 rng.random_range(1000..50_000)
             } else {
                 600
