--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -100,7 +100,7 @@
 
     /// Takes note of how many routers choose among these endpoints for like callers.
     pub fn share(&mut self, routers: usize) {
-        self.homes.share(routers);
+        self.homes.set_router_count(routers);
     }
 
     /// Adds an endpoint, or changes its models and limit.
@@ -187,7 +187,7 @@
         choice: &Choice,
         prompt: &Prompt,
     ) -> Option<(u64, Instant)> {
-        self.homes.ask(now, prompt);
+        self.homes.record(now, prompt);
         let prefill = &mut self.endpoints.get_mut(&choice.endpoint)?.prefill;
         let unread = prefill.uncached_tokens(now, prompt, choice.home);
         Some((unread, prefill.record_sent(now, prompt.shared, unread)))
--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -25,41 +25,41 @@
 /// The time over which requests for a part are counted: one of two hundred routers sees one in ten seconds of the twenty a
 /// second that overload a home, and ten of a part that would overload ten. Over half the time so few are seen that routers
 /// differ by twice in the number of homes, and the part is read at as many more engines.
-const WINDOW: Duration = Duration::from_secs(10);
+const DEMAND_WINDOW: Duration = Duration::from_secs(10);
 
 /// What part of its time a home may spend on reading the prompts of one part: beyond that, they queue behind each other for
 /// long.
-const READING: f64 = 0.6;
+const MAX_PREFILL_SHARE: f64 = 0.6;
 
 /// How many parts are counted. Most are asked for once and have one home whether they are counted or not.
-const COUNTED: usize = 2048;
+const MAX_TRACKED: usize = 2048;
 
 /// Counts requests for shared parts, and tells how many homes each part needs.
 #[derive(Debug)]
 pub(crate) struct Homes {
     routers: usize,
-    asked: IndexMap<u64, Asked, BuildHasherDefault<FastHasher>>,
+    demands: IndexMap<u64, PrefixDemand, BuildHasherDefault<FastHasher>>,
 }
 
 /// How fast the prompts that share a part come to this router.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    first: Instant,
+struct PrefixDemand {
+    first_seen: Instant,
     demand: Demand,
 }
 
-impl Asked {
+impl PrefixDemand {
     fn new(now: Instant) -> Self {
         Self {
-            first: now,
-            demand: Demand::new(now, WINDOW),
+            first_seen: now,
+            demand: Demand::new(now, DEMAND_WINDOW),
         }
     }
 
     /// Returns how many tokens they have a second, apart from the part. A demand that just began is known within a second,
     /// before its home is seconds behind.
     fn rate(&self, now: Instant) -> f64 {
-        self.demand.rate(now) / observed_fraction(now, self.first, WINDOW)
+        self.demand.rate(now) / observed_fraction(now, self.first_seen, DEMAND_WINDOW)
     }
 }
 
@@ -68,40 +68,40 @@
     pub(crate) fn new() -> Self {
         Self {
             routers: 1,
-            asked: IndexMap::default(),
+            demands: IndexMap::default(),
         }
     }
 
     /// Takes note of how many routers share the callers.
-    pub(crate) fn share(&mut self, routers: usize) {
+    pub(crate) fn set_router_count(&mut self, routers: usize) {
         self.routers = routers.max(1);
     }
 
     /// Counts a request.
-    pub(crate) fn ask(&mut self, now: Instant, prompt: &Prompt) {
-        let asked = self.asked.entry(prompt.shared);
-        let asked = asked.or_insert_with(|| Asked::new(now));
-        asked.demand.add(now, Tokens(prompt.own_tokens));
-        if self.asked.len() > COUNTED {
-            self.forget(now);
+    pub(crate) fn record(&mut self, now: Instant, prompt: &Prompt) {
+        let entry = self.demands.entry(prompt.shared);
+        let tracked = entry.or_insert_with(|| PrefixDemand::new(now));
+        tracked.demand.add(now, Tokens(prompt.own_tokens));
+        if self.demands.len() > MAX_TRACKED {
+            self.evict(now);
         }
     }
 
     /// Returns how many homes a prompt's shared parts have.
     pub(crate) fn count(&self, now: Instant, prompt: &Prompt) -> usize {
-        let Some(asked) = self.asked.get(&prompt.shared) else {
+        let Some(tracked) = self.demands.get(&prompt.shared) else {
             return 1;
         };
-        let tokens = asked.rate(now) * self.routers as f64;
-        let reading = Prefill::default().time(tokens as u64);
-        1 + (reading.as_secs_f64() / READING) as usize
+        let token_rate = tracked.rate(now) * self.routers as f64;
+        let prefill = Prefill::default().time(token_rate as u64);
+        1 + (prefill.as_secs_f64() / MAX_PREFILL_SHARE) as usize
     }
 
     /// Forgets the parts that were asked for least.
-    fn forget(&mut self, now: Instant) {
-        self.asked
+    fn evict(&mut self, now: Instant) {
+        self.demands
             .sort_by(|_, a, _, b| b.rate(now).total_cmp(&a.rate(now)));
-        self.asked.truncate(COUNTED / 2);
+        self.demands.truncate(MAX_TRACKED / 2);
     }
 }
 
