--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -12,6 +12,7 @@
 use jasmineridge::BlockHash;
 use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::DomainId;
 use jasmineridge::Ejector;
 use jasmineridge::Evidence;
@@ -25,7 +26,6 @@
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use jasmineridge::advise;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -126,7 +126,7 @@
     let prompts: Vec<_> = (0..1300).map(prompt).collect();
     let mut choose = |what: &str, model: Option<usize>, known: bool| {
         measure(what, |n| {
-            let wish = Wish {
+            let wish = Criteria {
                 model: model.map(|_| &models[n as usize % MODELS]),
                 prefix: if known {
                     &prompts[n as usize % 1300]
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -32,11 +32,11 @@
 
 /// How many endpoints of one model a router chooses among by their load reports. All of them at today's 12 and 18; at 35 models, 1,120 load
 /// reports of 30 bytes every 5 seconds are just within the 7 KB/s that a node may spend for control.
-const SUBSET: usize = 32;
+const SUBSET_SIZE: usize = 32;
 
 /// How many random endpoints are compared. With two, as with reports taken at their word, waits are longer; with all of
 /// them routers with the same reports agree too often.
-const DRAWN: usize = 6;
+const SAMPLE_SIZE: usize = 6;
 
 /// What an endpoint says of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 
 /// What is to be run.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// The model that must be loaded, if one must.
     pub model: Option<&'a ModelId>,
     /// The prompt's blocks, from the first.
@@ -99,7 +99,7 @@
     }
 
     /// Takes note of how many routers choose among these endpoints for like callers.
-    pub fn share(&mut self, routers: usize) {
+    pub fn set_router_count(&mut self, routers: usize) {
         self.homes.set_router_count(routers);
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Keeps the limit of an endpoint at its setting.
-    pub fn fix(&mut self, vm: &VmId) {
+    pub fn fix_limit(&mut self, vm: &VmId) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.own.fix();
         }
@@ -138,7 +138,7 @@
     }
 
     /// Marks an endpoint as leaving: from now on it gets nothing new.
-    pub fn leave(&mut self, vm: &VmId, leaving: bool) {
+    pub fn set_leaving(&mut self, vm: &VmId, leaving: bool) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.leaving = leaving;
         }
@@ -146,7 +146,7 @@
 
     /// Takes over until when an endpoint is cold, nothing where it is warm, and how many requests a second this router may
     /// send it while it is.
-    pub fn cool(&mut self, vm: &VmId, until: Option<Instant>, share: u32) {
+    pub fn set_cold(&mut self, vm: &VmId, until: Option<Instant>, share: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.cool(until, share);
         }
@@ -181,7 +181,7 @@
 
     /// Counts a prompt that is sent to the endpoint that was chosen for it; returns how many of its tokens are unread there,
     /// and when its first token is expected.
-    pub fn send(
+    pub fn record_prompt(
         &mut self,
         now: Instant,
         choice: &Choice,
@@ -194,14 +194,21 @@
     }
 
     /// Counts a prompt that another router sent to an endpoint, of which so many tokens were unread.
-    pub fn told(&mut self, now: Instant, vm: &VmId, shared: u64, unread: u64) {
+    pub fn record_remote_prompt(&mut self, now: Instant, vm: &VmId, shared: u64, unread: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.prefill.record_sent(now, shared, unread);
         }
     }
 
     /// Learns from a first token.
-    pub fn came(&mut self, now: Instant, vm: &VmId, sent: Instant, expected: Instant, unread: u64) {
+    pub fn record_first_token(
+        &mut self,
+        now: Instant,
+        vm: &VmId,
+        sent: Instant,
+        expected: Instant,
+        unread: u64,
+    ) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint
                 .prefill
@@ -223,7 +230,7 @@
     pub fn choose<R>(
         &self,
         now: Instant,
-        wish: &Wish<'_>,
+        criteria: &Criteria<'_>,
         index: &PrefixIndex,
         health: &Ejector,
         rng: &mut R,
@@ -231,21 +238,21 @@
     where
         R: Rng,
     {
-        let usable = self.usable(now, wish, health);
-        if let Some(prompt) = &wish.prompt {
-            return self.soonest(now, prompt, wish.domain, &usable, rng);
+        let candidates = self.candidates(now, criteria, health);
+        if let Some(prompt) = &criteria.prompt {
+            return self.choose_by_first_token(now, prompt, criteria.domain, &candidates, rng);
         }
-        let cached = index.matches(wish.prefix);
+        let cached = index.matches(criteria.prefix);
         let found = |vm: &VmId| cached.iter().find(|m| m.endpoint == *vm);
-        let drawn = draw(usable.len(), rng);
-        usable
+        let sampled = random_indices(candidates.len(), rng);
+        candidates
             .iter()
             .enumerate()
             .map(|(at, (vm, endpoint))| (at, *vm, *endpoint, found(vm)))
-            .filter(|(at, _, _, found)| drawn.contains(at) || found.is_some())
+            .filter(|(at, _, _, found)| sampled.contains(at) || found.is_some())
             .map(|(_, vm, endpoint, found)| {
                 let slow = health.slowness(vm);
-                (endpoint.score(now, wish, found, slow), vm, found)
+                (endpoint.score(now, criteria, found, slow), vm, found)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, vm, found)| Choice {
@@ -260,20 +267,20 @@
     /// All routers reckon the homes of its shared parts alike, so that these are read at few engines however many routers
     /// there are. Of several that are as good one is drawn: if each router preferred one for good, a few of the homes of a
     /// part that many ask for would have most of its requests.
-    fn soonest<R>(
+    fn choose_by_first_token<R>(
         &self,
         now: Instant,
         prompt: &Prompt,
         domain: &DomainId,
-        usable: &[(&VmId, &Endpoint)],
+        candidates: &[(&VmId, &Endpoint)],
         rng: &mut R,
     ) -> Option<Choice>
     where
         R: Rng,
     {
-        let homes = self.homes_among(now, prompt, usable);
+        let homes = self.homes_among(now, prompt, candidates);
         let is_home = |vm: &VmId| homes.contains(&homes::rank(vm, prompt.shared));
-        let times = usable.iter().map(|(vm, endpoint)| {
+        let times = candidates.iter().map(|(vm, endpoint)| {
             let home = is_home(vm);
             let time = endpoint.first_token(now, prompt, domain, home);
             ((time, rng.random::<u32>()), *vm, home)
@@ -291,41 +298,46 @@
         &self,
         now: Instant,
         prompt: &Prompt,
-        usable: &[(&VmId, &Endpoint)],
+        candidates: &[(&VmId, &Endpoint)],
     ) -> Vec<u64> {
-        let ranks = usable.iter().map(|(vm, _)| homes::rank(vm, prompt.shared));
+        let ranks = candidates
+            .iter()
+            .map(|(vm, _)| homes::rank(vm, prompt.shared));
         let mut ranks: Vec<_> = ranks.collect();
         ranks.sort_unstable_by(|a, b| b.cmp(a));
         ranks.truncate(self.homes.count(now, prompt));
         ranks
     }
 
-    fn usable<'a>(
+    fn candidates<'a>(
         &'a self,
         now: Instant,
-        wish: &Wish<'_>,
+        criteria: &Criteria<'_>,
         health: &Ejector,
     ) -> Vec<(&'a VmId, &'a Endpoint)> {
-        let Some(ranked) = self.ranked.get(&wish.model.cloned()) else {
+        let Some(ranked) = self.ranked.get(&criteria.model.cloned()) else {
             return Vec::new();
         };
-        let subset = match wish.prompt {
+        let subset = match criteria.prompt {
             Some(_) => usize::MAX,
-            None => SUBSET,
+            None => SUBSET_SIZE,
         };
-        let mut usable: Vec<_> = ranked
+        let mut candidates: Vec<_> = ranked
             .iter()
             .filter_map(|(_, vm)| Some((vm, self.endpoints.get(vm)?)))
             .filter(|(_, endpoint)| !endpoint.leaving)
             .take(subset)
-            .filter(|(vm, endpoint)| endpoint.admits(now, health.health(now, vm), wish.usage))
-            .filter(|(vm, _)| !wish.excluded.contains(vm))
+            .filter(|(vm, endpoint)| endpoint.admits(now, health.health(now, vm), criteria.usage))
+            .filter(|(vm, _)| !criteria.excluded.contains(vm))
             .collect();
         // Cold endpoints are for what warm ones have no room for.
-        if usable.iter().any(|(_, endpoint)| !endpoint.is_cold(now)) {
-            usable.retain(|(_, endpoint)| !endpoint.is_cold(now));
+        if candidates
+            .iter()
+            .any(|(_, endpoint)| !endpoint.is_cold(now))
+        {
+            candidates.retain(|(_, endpoint)| !endpoint.is_cold(now));
         }
-        usable
+        candidates
     }
 
     fn rank(&self, vm: &VmId) -> u64 {
@@ -347,9 +359,9 @@
 }
 
 /// Draws places below `len`, as many as are compared.
-fn draw<R>(len: usize, rng: &mut R) -> [usize; DRAWN]
+fn random_indices<R>(len: usize, rng: &mut R) -> [usize; SAMPLE_SIZE]
 where
     R: Rng,
 {
-    [(); DRAWN].map(|()| rng.random_range(0..len.max(1)))
+    [(); SAMPLE_SIZE].map(|()| rng.random_range(0..len.max(1)))
 }
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::decide::choose::Criteria;
 use crate::decide::choose::Load;
-use crate::decide::choose::Wish;
 use crate::decide::cold::Cold;
 use crate::decide::concurrency::EndpointLimit;
 use crate::decide::health::Health;
@@ -153,7 +153,7 @@
     pub(super) fn score(
         &self,
         now: Instant,
-        wish: &Wish<'_>,
+        wish: &Criteria<'_>,
         found: Option<&Match>,
         slow: f64,
     ) -> f64 {
--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -88,7 +88,7 @@
             for vm in pool.addresses.keys() {
                 let until = self.cold.until(now, vm);
                 let share = until.map_or(0, |_| cold_share(rate, &routers, router, vm));
-                pool.picker.chooser.cool(vm, until, share);
+                pool.picker.chooser.set_cold(vm, until, share);
             }
         }
     }
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -7,12 +7,12 @@
 use crate::decide::Caps;
 use crate::decide::Choice;
 use crate::decide::Chooser;
+use crate::decide::Criteria;
 use crate::decide::Ejector;
 use crate::decide::Isolation;
 use crate::decide::PrefixIndex;
 use crate::decide::Quarantine;
 use crate::decide::Usage;
-use crate::decide::Wish;
 use crate::decide::suspect_router;
 use crate::ids::DomainId;
 use crate::ids::ModelId;
@@ -64,7 +64,7 @@
         let forbidden = self.forbidden(request, quarantine, site);
         let avoided = quarantine.avoid(request.fingerprint);
         let mut choose = |excluded: &[VmId]| {
-            let wish = Wish {
+            let wish = Criteria {
                 model: model(request),
                 prefix: &blocks,
                 domain: site.domain,
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -123,11 +123,11 @@
             let limit = slots.unwrap_or(spec.concurrency);
             self.picker.chooser.put(vm, &entry.domain, models, limit);
             if fixed {
-                self.picker.chooser.fix(vm);
+                self.picker.chooser.fix_limit(vm);
             }
             let leaving = entry.state == VmState::Leaving;
             let leaving = leaving || drained.domains.contains(&entry.domain);
-            self.picker.chooser.leave(vm, leaving);
+            self.picker.chooser.set_leaving(vm, leaving);
             self.picker.health.put(now, vm, &entry.domain);
             self.addresses.insert(vm.clone(), entry.address);
             self.domains.insert(vm.clone(), entry.domain.clone());
@@ -182,7 +182,7 @@
             });
             let vms = &self.members.roster.list().vms;
             pool.refresh(now, &spec, vms, fixed, &self.drained);
-            pool.picker.chooser.share(routers.len());
+            pool.picker.chooser.set_router_count(routers.len());
         }
         self.share_cold(now);
         self.refuse_drained(now);
--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -25,7 +25,7 @@
         let Some((prompt, pool)) = terms.prompt.zip(self.pools.get_mut(&request.pool)) else {
             return;
         };
-        terms.expected = pool.picker.chooser.send(now, choice, &prompt);
+        terms.expected = pool.picker.chooser.record_prompt(now, choice, &prompt);
         let Some((tokens, _)) = terms.expected.filter(|(tokens, _)| *tokens >= LONG) else {
             return;
         };
@@ -50,7 +50,9 @@
             && let Some((tokens, at)) = expected
             && let Some(pool) = self.pools.get_mut(&request.pool)
         {
-            pool.picker.chooser.came(now, endpoint, *since, at, tokens);
+            pool.picker
+                .chooser
+                .record_first_token(now, endpoint, *since, at, tokens);
         }
     }
 
@@ -58,7 +60,7 @@
     pub(crate) fn reads(&mut self, now: Instant, reading: &Reading) {
         for pool in self.pools.values_mut() {
             let chooser = &mut pool.picker.chooser;
-            chooser.told(now, &reading.endpoint, reading.shared, reading.tokens);
+            chooser.record_remote_prompt(now, &reading.endpoint, reading.shared, reading.tokens);
         }
     }
 }
--- a/tests/decisions/cold.rs
+++ b/tests/decisions/cold.rs
@@ -5,13 +5,13 @@
 
 use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Prompt;
 use jasmineridge::Sample;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use jasmineridge::cold_share;
 use rand::Rng;
 use rand::RngExt;
@@ -50,10 +50,10 @@
         }
         let choosers = routers.iter().map(|router| {
             let mut chooser = Chooser::new(router);
-            chooser.share(routers.len());
+            chooser.set_router_count(routers.len());
             for vm in &vms {
                 chooser.put(vm, &name("domain-0"), &[], slots);
-                chooser.fix(vm);
+                chooser.fix_limit(vm);
             }
             chooser
         });
@@ -70,7 +70,7 @@
         for vm in endpoints.map(endpoint) {
             for (router, chooser) in self.routers.iter().zip(&mut self.choosers) {
                 let share = cold_share(RATE, &self.routers, router, &vm);
-                chooser.cool(&vm, Some(until), share);
+                chooser.set_cold(&vm, Some(until), share);
             }
         }
     }
@@ -88,7 +88,7 @@
             shared_tokens: 2000,
             own_tokens: 500,
         };
-        let wish = Wish {
+        let wish = Criteria {
             model: None,
             prefix: &[],
             domain: &name("domain-0"),
@@ -100,7 +100,7 @@
         let index = PrefixIndex::new();
         let choice = chooser.choose(now, &wish, &index, &self.health, rng)?;
         chooser.start(now, &choice.endpoint);
-        chooser.send(now, &choice, &prompt);
+        chooser.record_prompt(now, &choice, &prompt);
         self.runs.push((now + RUN, router, choice.endpoint.clone()));
         Some(choice.endpoint)
     }
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -8,6 +8,7 @@
 use jasmineridge::CacheEvent;
 use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::DomainId;
 use jasmineridge::Ejector;
 use jasmineridge::EndpointLimit;
@@ -28,7 +29,6 @@
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use jasmineridge::advise;
 
 use crate::ms;
@@ -104,7 +104,7 @@
     let index = PrefixIndex::new();
     let model = name("m");
     let excluded = [vms[0].clone()];
-    let wish = Wish {
+    let wish = Criteria {
         model: Some(&model),
         prefix: &[],
         domain: &domain,
@@ -112,7 +112,7 @@
         usage: Usage::Heavy,
         prompt: None,
     };
-    chooser.leave(&vms[1], true);
+    chooser.set_leaving(&vms[1], true);
     for _ in 0..4 {
         let choice = chooser
             .choose(now, &wish, &index, &ejector, &mut rng())
@@ -134,7 +134,7 @@
     let mut index = PrefixIndex::new();
     let prompt: Vec<_> = (0..300).map(BlockHash).collect();
     index.learn(&vms[7], &prompt[..200]);
-    let wish = Wish {
+    let wish = Criteria {
         model: None,
         prefix: &prompt,
         domain: &domain,
--- a/tests/decisions/homes.rs
+++ b/tests/decisions/homes.rs
@@ -6,12 +6,12 @@
 use indexmap::IndexSet;
 use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Prompt;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -56,9 +56,9 @@
             let mut router = Chooser::new(&name(&format!("router-{n}")));
             for vm in &engines {
                 router.put(vm, &name("domain-0"), &[], 32);
-                router.fix(vm);
+                router.fix_limit(vm);
             }
-            router.share(ROUTERS);
+            router.set_router_count(ROUTERS);
             router
         });
         let routers = routers.collect();
@@ -80,7 +80,7 @@
         self.learn();
         let at = self.rng.random_range(0..ROUTERS);
         let domain = name("domain-0");
-        let wish = Wish {
+        let wish = Criteria {
             model: None,
             prefix: &[],
             domain: &domain,
@@ -91,7 +91,7 @@
         let index = PrefixIndex::new();
         let choice = self.routers[at].choose(self.now, &wish, &index, &self.health, &mut self.rng);
         let choice = choice.expect("all have room");
-        let sent = self.routers[at].send(self.now, &choice, &prompt);
+        let sent = self.routers[at].record_prompt(self.now, &choice, &prompt);
         let (unread, expected) = sent.expect("it is known");
         let vm = choice.endpoint;
         let place = (0..ENGINES).find(|n| engine(*n) == vm);
@@ -119,7 +119,7 @@
                 expected,
                 unread,
             } = token;
-            self.routers[router].came(at, &engine, sent, expected, unread);
+            self.routers[router].record_first_token(at, &engine, sent, expected, unread);
         }
     }
 }
--- a/tests/decisions/prefill.rs
+++ b/tests/decisions/prefill.rs
@@ -5,13 +5,13 @@
 
 use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Prompt;
 use jasmineridge::Sample;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use rand::RngExt;
 
 use crate::ms;
@@ -81,7 +81,7 @@
     let vms: Vec<VmId> = (0..ENGINES).map(|n| name(&format!("engine-{n}"))).collect();
     for vm in &vms {
         chooser.put(vm, &name("domain-0"), &[], 64);
-        chooser.fix(vm);
+        chooser.fix_limit(vm);
         health.put(now, vm, &name("domain-0"));
     }
     let mut engines = Engines::new(now);
@@ -103,7 +103,7 @@
                 600
             },
         };
-        let wish = Wish {
+        let wish = Criteria {
             model: None,
             prefix: &[],
             domain: &name("domain-0"),
@@ -119,10 +119,10 @@
             .position(|other| *other == vm)
             .expect("one of them");
         chooser.start(now, &vm);
-        let expected = chooser.send(now, &choice, &prompt);
+        let expected = chooser.record_prompt(now, &choice, &prompt);
         let first = engines.read(now, at, &prompt);
         if let Some((unread, expected)) = expected {
-            chooser.came(first, &vm, now, expected, unread);
+            chooser.record_first_token(first, &vm, now, expected, unread);
         }
         running.push((first + ms(1000), vm));
         if !long {
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -9,6 +9,7 @@
 use jasmineridge::AccountLimit;
 use jasmineridge::CacheEvent;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::DomainId;
 use jasmineridge::Ejector;
 use jasmineridge::Evidence;
@@ -21,7 +22,6 @@
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -253,7 +253,7 @@
         let mut usage = Usage::Heavy;
         let id = self.queue.pop_where(now, |id, used| {
             usage = used;
-            let wish = Wish {
+            let wish = Criteria {
                 model: None,
                 prefix: &jobs[*id].prompt,
                 domain: &self.domain,
