--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -13,9 +13,9 @@
 use crate::config::Config;
 use crate::config::RouteTable;
 use crate::decide::AccountLimit;
+use crate::decide::ConsistencyMode;
 use crate::decide::Demand;
 use crate::decide::HoldingPolicy;
-use crate::decide::Lean;
 use crate::decide::Quarantine;
 use crate::decide::RetryBudget;
 use crate::ids::AccountId;
@@ -59,7 +59,7 @@
     /// Where callers reach it, `ip:port`.
     pub(crate) address: String,
     /// Which user's measure its policies lean to.
-    pub(crate) lean: Lean,
+    pub(crate) lean: ConsistencyMode,
     /// How records are gathered into appends.
     pub(crate) pace: Pace,
     /// How long a batch may go without its verdict before the log counts as down.
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -6,9 +6,9 @@
 use indexmap::IndexSet;
 use tracing::info;
 
-use crate::decide::Action;
+use crate::decide::BudgetView;
 use crate::decide::Demand;
-use crate::decide::Share;
+use crate::decide::HoldingAction;
 use crate::ids::RequestId;
 use crate::ids::TeamId;
 use crate::ledger::Batch;
@@ -209,19 +209,19 @@
         if purse.drawing {
             return;
         }
-        let share = Share {
+        let share = BudgetView {
             free: purse.available(holding.free),
             claimed: holding.claimed,
             undrawn,
             routers,
             demand,
-            team: self.fleet.get(team).map_or(0.0, |fleet| fleet.rate(now)),
+            team_demand: self.fleet.get(team).map_or(0.0, |fleet| fleet.rate(now)),
             wanted,
             reachable,
         };
         match self.policy.decide(&share) {
-            Action::None => {}
-            Action::Draw(want) => {
+            HoldingAction::None => {}
+            HoldingAction::Draw(want) => {
                 purse.drawing = true;
                 let record = Record::Draw {
                     team: team.clone(),
@@ -229,7 +229,7 @@
                 };
                 self.appender.push(record, Ticket::Draw(team.clone()));
             }
-            Action::Return(amount) => self.give_back(team, amount),
+            HoldingAction::Return(amount) => self.give_back(team, amount),
         }
     }
 
--- a/src/router/funds.rs
+++ b/src/router/funds.rs
@@ -10,8 +10,8 @@
 
 use crate::config::RouteTable;
 use crate::decide::Candidate;
+use crate::decide::ConsistencyMode;
 use crate::decide::HoldingPolicy;
-use crate::decide::Lean;
 use crate::decide::PriorityDemand;
 use crate::escrow::Book;
 use crate::escrow::GrantKey;
@@ -111,13 +111,13 @@
         now: Instant,
         vm: VmId,
         me: Incarnation,
-        lean: Lean,
+        lean: ConsistencyMode,
         clock: BootClock,
     ) -> Self {
         Self {
             book: Book::new(vm, me),
             allowances: IndexMap::new(),
-            policy: HoldingPolicy::covering(COVER, held_for(lean)),
+            policy: HoldingPolicy::with_cover(COVER, held_for(lean)),
             busy: false,
             behind: false,
             failures: 0,
@@ -443,9 +443,9 @@
     }
 }
 
-fn held_for(lean: Lean) -> f64 {
+fn held_for(lean: ConsistencyMode) -> f64 {
     match lean {
-        Lean::Strict => HELD,
-        Lean::Available => AVAILABLE_HELD,
+        ConsistencyMode::Strict => HELD,
+        ConsistencyMode::Available => AVAILABLE_HELD,
     }
 }
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::ids::VmId;
 use crate::router::core::Core;
 use crate::router::event::Silence;
@@ -46,8 +46,8 @@
     /// swallow what it says, and then it serves its callers. Each user has one of these at heart.
     fn patience_with_mute(&self) -> Duration {
         match self.tuning.lean {
-            Lean::Strict => self.tuning.silence * MUTE_FACTOR,
-            Lean::Available => self.tuning.parted.max(self.tuning.silence),
+            ConsistencyMode::Strict => self.tuning.silence * MUTE_FACTOR,
+            ConsistencyMode::Available => self.tuning.parted.max(self.tuning.silence),
         }
     }
 
@@ -89,8 +89,8 @@
         let one = peers.any(|p| self.may_keep(&p.vm) && self.members.is_heard(now, &p.vm));
         let one = one || self.tuning.marker == EndMarker::Hold;
         match self.tuning.lean {
-            Lean::Available => one,
-            Lean::Strict => {
+            ConsistencyMode::Available => one,
+            ConsistencyMode::Strict => {
                 let mut closers = self.closers().into_iter();
                 one && closers.all(|vm| self.members.is_heard(now, &vm))
             }
@@ -104,8 +104,8 @@
     pub(crate) fn may_keep(&self, peer: &VmId) -> bool {
         let domain = self.members.domain(peer);
         match self.tuning.lean {
-            Lean::Strict => domain.is_some_and(|domain| *domain != self.tuning.domain),
-            Lean::Available => domain.is_some(),
+            ConsistencyMode::Strict => domain.is_some_and(|domain| *domain != self.tuning.domain),
+            ConsistencyMode::Available => domain.is_some(),
         }
     }
 }
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use tracing::info;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
 use crate::ids::Sequence;
@@ -158,8 +158,8 @@
         let closers = self.closers();
         match self.tuning.lean {
             _ if closers.is_empty() => self.appender.extent(),
-            Lean::Available => kept.values().max().copied(),
-            Lean::Strict => {
+            ConsistencyMode::Available => kept.values().max().copied(),
+            ConsistencyMode::Strict => {
                 let extents = closers.iter().map(|vm| kept.get(vm).copied());
                 extents.min().flatten()
             }
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -4,7 +4,7 @@
 
 use tracing::info;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::ids::Attempt;
 use crate::ids::RequestId;
 use crate::ledger::Record;
@@ -146,7 +146,8 @@
         }
         // A router that is cut off from the log may run what its peers alone know to be claimed; where one keeper is
         // enough for that, it need not be this router.
-        let lone = self.tuning.lean == Lean::Available || self.members.keeps_claim(&request.key);
+        let lone = self.tuning.lean == ConsistencyMode::Available
+            || self.members.keeps_claim(&request.key);
         if lone {
             return Proof::None;
         }
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use crate::decide;
-use crate::decide::Action;
+use crate::decide::BudgetView;
+use crate::decide::HoldingAction;
 use crate::decide::OWNERS;
 use crate::decide::ReleaseLimit;
-use crate::decide::Share;
 use crate::decide::TEAM_OWNERS;
 use crate::escrow::Change;
 use crate::escrow::GrantRow;
@@ -164,43 +164,43 @@
             let kept = self.kept_by_leaver(now, allowance);
             return granted - free.saturating_sub(kept).min(granted);
         }
-        let share = Share {
+        let share = BudgetView {
             free,
             claimed: allowance.reserved,
             undrawn: self.book.undrawn(team, allowance.prepaid),
             routers: self.sharers(team),
             demand: allowance.rate(now),
-            team: allowance.rate(now) + self.others.demand(team),
+            team_demand: allowance.rate(now) + self.others.demand(team),
             wanted: allowance.wanted(),
             reachable: true,
         };
         match self.policy.decide(&share) {
-            Action::Draw(amount) if !allowance.is_trifle(amount) => granted + amount,
-            Action::Return(_) if allowance.waiting.is_empty() && self.spares_log() => {
+            HoldingAction::Draw(amount) if !allowance.is_trifle(amount) => granted + amount,
+            HoldingAction::Return(_) if allowance.waiting.is_empty() && self.spares_log() => {
                 granted - self.given_back(allowance, share).min(granted)
             }
-            Action::Return(amount) if !allowance.is_trifle(amount) => {
+            HoldingAction::Return(amount) if !allowance.is_trifle(amount) => {
                 granted - amount.min(free).min(granted)
             }
-            Action::Draw(_) | Action::Return(_) | Action::None => granted,
+            HoldingAction::Draw(_) | HoldingAction::Return(_) | HoldingAction::None => granted,
         }
     }
 
     /// Returns all that the policy gives back, step after step, of a budget for which nobody waits here: one write for
     /// all steps that are not followed by a draw.
-    fn given_back(&self, allowance: &Allowance, mut share: Share) -> Tokens {
+    fn given_back(&self, allowance: &Allowance, mut share: BudgetView) -> Tokens {
         let mut given = Tokens::ZERO;
-        while let Action::Return(amount) = self.policy.decide(&share) {
+        while let HoldingAction::Return(amount) = self.policy.decide(&share) {
             let amount = amount.min(share.free);
             if allowance.is_trifle(amount) {
                 break;
             }
-            let next = Share {
+            let next = BudgetView {
                 free: share.free - amount,
                 undrawn: share.undrawn.saturating_add(amount),
                 ..share
             };
-            if let Action::Draw(_) = self.policy.decide(&next) {
+            if let HoldingAction::Draw(_) = self.policy.decide(&next) {
                 break;
             }
             given += amount;
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::ids::Attempt;
 use crate::ids::Fingerprint;
 use crate::ids::Offset;
@@ -96,7 +96,7 @@
         vm: format!("router-{at}").parse().expect("a name"),
         domain: format!("domain-{at}").parse().expect("a name"),
         address: format!("127.0.0.1:{}", 8000 + at),
-        lean: Lean::Strict,
+        lean: ConsistencyMode::Strict,
         pace: Pace {
             interval: COMMIT,
             timeout: OUTAGE,
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/isolated.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::router::Event;
 use crate::router::Silence;
 use crate::router::Tuning;
@@ -12,7 +12,7 @@
 
 const PARTED: Duration = Duration::from_secs(60);
 
-fn bench(lean: Lean) -> Bench {
+fn bench(lean: ConsistencyMode) -> Bench {
     let tune = |at| Tuning {
         lean,
         parted: PARTED,
@@ -41,9 +41,9 @@
 /// partition, and keeps what it holds for as long as one lasts.
 #[test]
 fn a_silent_router_is_closed_by_the_kind_of_its_silence() {
-    let refused = closed_after(&mut bench(Lean::Strict), Silence::Refused);
-    let mute = closed_after(&mut bench(Lean::Strict), Silence::Mute);
-    let away = closed_after(&mut bench(Lean::Strict), Silence::Unreachable);
+    let refused = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Refused);
+    let mute = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Mute);
+    let away = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Unreachable);
     assert!(refused < Duration::from_secs(3), "{refused:?}");
     assert!(
         mute >= Duration::from_secs(12) && mute < Duration::from_secs(16),
@@ -54,7 +54,7 @@
         "{away:?}"
     );
     // Where refusals weigh more, one that may serve is not robbed of what it holds either.
-    let mute = closed_after(&mut bench(Lean::Available), Silence::Mute);
+    let mute = closed_after(&mut bench(ConsistencyMode::Available), Silence::Mute);
     assert!(mute >= PARTED, "{mute:?}");
 }
 
@@ -63,7 +63,7 @@
 /// after one: the side that refuses is dead.
 #[test]
 fn a_router_that_is_cut_off_stops_before_the_others_may_close_it() {
-    for lean in [Lean::Strict, Lean::Available] {
+    for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
         for silence in [Silence::Mute, Silence::Unreachable] {
             let mut one = bench(lean);
             one.log = Log::Down;
@@ -92,7 +92,7 @@
 /// deafness, so it counts anew.
 #[test]
 fn a_router_that_was_deaf_itself_closes_no_one_at_once() {
-    let mut bench = bench(Lean::Strict);
+    let mut bench = bench(ConsistencyMode::Strict);
     let other = bench.nodes[1].core.me;
     bench.linked = false;
     bench.log = Log::Down;
@@ -109,7 +109,7 @@
 /// elsewhere meanwhile, so it is refused without a word on whether it ran.
 #[test]
 fn what_lay_in_a_socket_over_a_pause_is_not_run() {
-    let mut bench = bench(Lean::Strict);
+    let mut bench = bench(ConsistencyMode::Strict);
     bench.now += Duration::from_secs(30);
     bench.tell(0, Event::Paused);
     let ask = bench.call("paused", 1);
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -1,6 +1,6 @@
 //! Log outages.
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::ids::Sequence;
 use crate::router::Event;
 use crate::router::KeptBatches;
@@ -96,7 +96,7 @@
 /// refuses rather than spend tokens on it.
 #[test]
 fn without_a_keeper_a_completion_is_refused() {
-    for lean in [Lean::Strict, Lean::Available] {
+    for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
         let mut bench = in_outage(|tuning| Tuning { lean, ..tuning });
         bench.linked = false;
         bench.pass(4000);
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::ids::RequestId;
 use crate::router::Event;
 use crate::router::ProblemKind;
@@ -147,7 +147,7 @@
 #[test]
 fn leaning_to_availability_a_record_proves_nothing() {
     let tuning = Tuning {
-        lean: Lean::Available,
+        lean: ConsistencyMode::Available,
         ..tuning(0)
     };
     let mut bench = Bench::unfunded(vec![tuning]);
--- a/src/settings/daemon.rs
+++ b/src/settings/daemon.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::Error;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::field;
 use crate::ids::DomainId;
 use crate::ids::VmId;
@@ -48,7 +48,7 @@
     pub log_level: LogLevel,
     /// Which measure the deployment weighs more.
     #[serde(default)]
-    pub lean: Lean,
+    pub lean: ConsistencyMode,
     /// The SHA-256 of the operators' key, in hex; without it orders are taken from this VM alone.
     #[serde(default)]
     pub admin_key_sha256: Option<String>,
--- a/src/settings/site.rs
+++ b/src/settings/site.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::field;
 use crate::ids::DomainId;
 use crate::ids::VmId;
@@ -49,7 +49,7 @@
     pub log_level: LogLevel,
     /// Which measure the deployment weighs more.
     #[serde(default)]
-    pub lean: Lean,
+    pub lean: ConsistencyMode,
     /// How long after the first signal a second one ends the process.
     pub grace_ms: Millis,
     /// How long a caller may keep an advised address.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -6,7 +6,7 @@
 use super::RequestLimits;
 use super::Settings;
 use super::SettingsError;
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 
 fn example() -> Value {
     json!({
@@ -36,7 +36,7 @@
     let settings = Settings::parse(&example().to_string()).expect("it is sound");
     assert_eq!(settings.limits, RequestLimits::default());
     assert_eq!(settings.ledger, LedgerSettings::default());
-    assert_eq!(settings.lean, Lean::Strict);
+    assert_eq!(settings.lean, ConsistencyMode::Strict);
     assert_eq!(settings.advertised().to_string(), "192.0.2.1:8080");
     assert_eq!(settings.vms.to_string(), "http://192.0.2.9:9001");
 }
--- a/tests/decisions/budget.rs
+++ b/tests/decisions/budget.rs
@@ -2,10 +2,10 @@
 
 use std::collections::VecDeque;
 
-use jasmineridge::Action;
+use jasmineridge::BudgetView;
+use jasmineridge::ConsistencyMode;
+use jasmineridge::HoldingAction;
 use jasmineridge::HoldingPolicy;
-use jasmineridge::Lean;
-use jasmineridge::Share;
 use jasmineridge::Tokens;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -35,7 +35,7 @@
 /// How holdings are decided.
 #[derive(Clone, Copy, Debug)]
 enum Holds {
-    Ours(Lean),
+    Ours(ConsistencyMode),
     /// Draws a fiftieth of the budget whenever there is too little, and keeps it.
     Chunks,
     /// Has an equal part from the start. Its generous side: a top-up is shared out as well.
@@ -48,7 +48,7 @@
     demand: f64,
     running: VecDeque<(f64, u64)>,
     waiting: VecDeque<f64>,
-    action: Option<Action>,
+    action: Option<HoldingAction>,
 }
 
 #[derive(Debug, Default)]
@@ -151,19 +151,19 @@
     fn act(&mut self, at: usize, cut: bool) {
         let router = &mut self.routers[at];
         match router.action.take().filter(|_| !cut) {
-            Some(Action::Draw(want)) => {
+            Some(HoldingAction::Draw(want)) => {
                 let granted = want.0.min(self.undrawn);
                 self.undrawn -= granted;
                 router.free += granted;
                 self.tally.appends += 1;
             }
-            Some(Action::Return(amount)) => {
+            Some(HoldingAction::Return(amount)) => {
                 let given = amount.0.min(router.free);
                 router.free -= given;
                 self.undrawn += given;
                 self.tally.appends += 1;
             }
-            Some(Action::None) | None => (),
+            Some(HoldingAction::None) | None => (),
         }
     }
 
@@ -205,7 +205,7 @@
         }
     }
 
-    fn decide(&self, holds: Holds, at: usize, now: f64, cut: bool) -> Option<Action> {
+    fn decide(&self, holds: Holds, at: usize, now: f64, cut: bool) -> Option<HoldingAction> {
         let router = &self.routers[at];
         // An average that began at nought a short while ago.
         let known = 1.0 - (-(now + STEP) / AVERAGED).exp();
@@ -215,18 +215,18 @@
             RESERVED
         });
         match holds {
-            Holds::Ours(lean) => Some(HoldingPolicy::new(lean).decide(&Share {
+            Holds::Ours(lean) => Some(HoldingPolicy::new(lean).decide(&BudgetView {
                 free: Tokens(router.free),
                 claimed: Tokens(router.running.len() as u64 * RESERVED),
                 undrawn: Tokens(self.undrawn),
                 routers: RATES.len(),
                 demand: router.demand / known,
-                team: self.routers.iter().map(|r| r.demand / known).sum(),
+                team_demand: self.routers.iter().map(|r| r.demand / known).sum(),
                 wanted,
                 reachable: !cut,
             })),
             Holds::Chunks if router.free < wanted.0.max(RESERVED) => {
-                Some(Action::Draw(Tokens(self.prepaid / 50)))
+                Some(HoldingAction::Draw(Tokens(self.prepaid / 50)))
             }
             Holds::Chunks | Holds::Split => None,
         }
@@ -287,8 +287,8 @@
 #[test]
 fn budget_runs_out() {
     let kinds = [
-        Holds::Ours(Lean::Strict),
-        Holds::Ours(Lean::Available),
+        Holds::Ours(ConsistencyMode::Strict),
+        Holds::Ours(ConsistencyMode::Available),
         Holds::Chunks,
         Holds::Split,
     ];
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -3,11 +3,12 @@
 use std::time::Duration;
 
 use jasmineridge::AccountLimit;
-use jasmineridge::Action;
 use jasmineridge::BlockHash;
+use jasmineridge::BudgetView;
 use jasmineridge::CacheEvent;
 use jasmineridge::Caps;
 use jasmineridge::Chooser;
+use jasmineridge::ConsistencyMode;
 use jasmineridge::Criteria;
 use jasmineridge::DomainId;
 use jasmineridge::Ejector;
@@ -15,9 +16,9 @@
 use jasmineridge::Evidence;
 use jasmineridge::Fingerprint;
 use jasmineridge::Health;
+use jasmineridge::HoldingAction;
 use jasmineridge::HoldingPolicy;
 use jasmineridge::Isolation;
-use jasmineridge::Lean;
 use jasmineridge::Limits;
 use jasmineridge::Load;
 use jasmineridge::Peer;
@@ -25,7 +26,6 @@
 use jasmineridge::Quarantine;
 use jasmineridge::RetryBudget;
 use jasmineridge::Sample;
-use jasmineridge::Share;
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
@@ -232,65 +232,74 @@
 /// A budget drains. A router draws while there is plenty, and gives back what would strand when little is left.
 #[test]
 fn holdings_follow_the_budget() {
-    let share = Share {
+    let share = BudgetView {
         free: Tokens(0),
         claimed: Tokens(0),
         undrawn: Tokens(7_000_000),
         routers: 7,
         demand: 100.0,
-        team: 0.0,
+        team_demand: 0.0,
         wanted: Tokens(500),
         reachable: true,
     };
-    let strict = HoldingPolicy::new(Lean::Strict);
-    let available = HoldingPolicy::new(Lean::Available);
-    assert_eq!(strict.decide(&share), Action::Draw(Tokens(540_500)));
-    assert_eq!(available.decide(&share), Action::Draw(Tokens(540_500)));
-    let low = Share {
+    let strict = HoldingPolicy::new(ConsistencyMode::Strict);
+    let available = HoldingPolicy::new(ConsistencyMode::Available);
+    assert_eq!(strict.decide(&share), HoldingAction::Draw(Tokens(540_500)));
+    assert_eq!(
+        available.decide(&share),
+        HoldingAction::Draw(Tokens(540_500))
+    );
+    let low = BudgetView {
         free: Tokens(90_000),
         undrawn: Tokens(7000),
         ..share
     };
-    assert_eq!(strict.decide(&low), Action::Return(Tokens(35_400)));
-    assert_eq!(available.decide(&low), Action::Return(Tokens(29_334)));
-    let scattered = Share {
+    assert_eq!(strict.decide(&low), HoldingAction::Return(Tokens(35_400)));
+    assert_eq!(
+        available.decide(&low),
+        HoldingAction::Return(Tokens(29_334))
+    );
+    let scattered = BudgetView {
         free: Tokens(400),
         undrawn: Tokens(50),
         ..share
     };
-    assert_eq!(strict.decide(&scattered), Action::Return(Tokens(400)));
-    let parted = Share {
+    assert_eq!(
+        strict.decide(&scattered),
+        HoldingAction::Return(Tokens(400))
+    );
+    let parted = BudgetView {
         reachable: false,
         ..share
     };
-    assert_eq!(strict.decide(&parted), Action::None);
+    assert_eq!(strict.decide(&parted), HoldingAction::None);
 }
 
 /// A team has 43 tokens left and one router. Were the aim taken from what is undrawn alone, each draw would lower it, and
 /// the same tokens would go to and fro at each commit; an operator sees the log full of draws and returns.
 #[test]
 fn a_draw_is_not_returned_at_once() {
-    for lean in [Lean::Strict, Lean::Available] {
+    for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
         let policy = HoldingPolicy::new(lean);
-        let before = Share {
+        let before = BudgetView {
             free: Tokens(0),
             claimed: Tokens(0),
             undrawn: Tokens(43),
             routers: 1,
             demand: 30.0,
-            team: 30.0,
+            team_demand: 30.0,
             wanted: Tokens(0),
             reachable: true,
         };
-        let Action::Draw(drawn) = policy.decide(&before) else {
+        let HoldingAction::Draw(drawn) = policy.decide(&before) else {
             panic!("{lean:?} draws nothing");
         };
-        let after = Share {
+        let after = BudgetView {
             free: drawn,
             undrawn: before.undrawn - drawn,
             ..before
         };
-        assert_eq!(policy.decide(&after), Action::None, "{lean:?}");
+        assert_eq!(policy.decide(&after), HoldingAction::None, "{lean:?}");
     }
 }
 
