--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -108,7 +108,7 @@
             let evidence = Evidence::Answered(time);
             fleet.ejector.record(now, vm, evidence, &mut fleet.rng);
         }
-        fleet.index.learn(vm, &prompt(n as u64 % 1300));
+        fleet.index.record_cached(vm, &prompt(n as u64 % 1300));
     }
     fleet
 }
@@ -156,7 +156,7 @@
     });
     measure("learn a prompt of 300 blocks", |n| {
         let vm = &fleet.vms[n as usize % ENDPOINTS];
-        fleet.index.learn(vm, &prompts[n as usize % 1300]);
+        fleet.index.record_cached(vm, &prompts[n as usize % 1300]);
     });
     measure("record an answer of an endpoint", |n| {
         let vm = &fleet.vms[n as usize % ENDPOINTS];
@@ -264,7 +264,7 @@
     weigh("400,000 blocks with one holder", 400_000, || {
         let mut index = PrefixIndex::new();
         for (session, vm) in vms.iter().take(1334).enumerate() {
-            index.learn(vm, &prompt(session as u64));
+            index.record_cached(vm, &prompt(session as u64));
         }
         index
     });
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -158,7 +158,7 @@
         slow: f64,
     ) -> f64 {
         let load = (self.load(now) + 1.0) / f64::from(self.limit.max(1));
-        let cached = found.map_or(0.0, |m| m.blocks as f64 * m.trust);
+        let cached = found.map_or(0.0, |m| m.blocks as f64 * m.confidence);
         let missing = (wish.prefix.len() as f64 - cached) / FULL_BLOCKS;
         let remote = if self.domain == *wish.domain {
             0.0
--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -18,20 +18,20 @@
 
 /// How many blocks are remembered. At 116 bytes each (`cargo bench`) they take 47 of the 256 MB that a node may spend for
 /// control; with 16 tokens a block they are 1,300 prompts of 4,800 tokens.
-const MEMORY: usize = 400_000;
+const MAX_BLOCKS: usize = 400_000;
 
 /// How many endpoints are remembered for one block: more replicas than that need not be told apart.
-const HOLDERS: usize = 8;
+const MAX_HOLDERS: usize = 8;
 
 /// What an entry counts for each gap in its endpoint's events since it was learnt. A gap hides evictions as often as
 /// stores.
-const KEPT: f64 = 0.8;
+const GAP_CONFIDENCE: f64 = 0.8;
 
 /// After so many gaps an entry is worth next to nothing.
-const GAPS: u32 = 10;
+const MAX_GAPS: u32 = 10;
 
 /// How many shorter matches are looked at, each half as long as the one before.
-const SHORTER: u32 = 4;
+const MAX_HALVINGS: u32 = 4;
 
 /// What an endpoint says that changed in its cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -52,43 +52,43 @@
     /// How many leading blocks.
     pub blocks: usize,
     /// How far that is believed, from 0 to 1.
-    pub trust: f64,
+    pub confidence: f64,
 }
 
 /// One endpoint, as one life of its cache knows it: a restart makes another number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Slot(u32);
+struct CacheId(u32);
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
-    slot: Slot,
+    cache_id: CacheId,
     gaps: u32,
 }
 
 #[derive(Debug)]
-struct Source {
+struct EndpointCache {
     vm: VmId,
     sequence: u64,
     gaps: u32,
     /// Answers in a row that had less cached than was thought.
-    doubts: u32,
+    overestimates: u32,
 }
 
 #[derive(Debug, Default)]
 struct Entry {
     holders: Vec<Holder>,
     /// Whether it was learnt again or matched since eviction last came by.
-    used: bool,
+    referenced: bool,
 }
 
 /// Blocks and the endpoints that are thought to have them cached.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     blocks: IndexMap<BlockHash, Entry, BuildHasherDefault<FastHasher>>,
-    order: VecDeque<BlockHash>,
-    slots: IndexMap<VmId, Slot, BuildHasherDefault<FastHasher>>,
-    sources: IndexMap<Slot, Source, BuildHasherDefault<FastHasher>>,
-    next: u32,
+    eviction_queue: VecDeque<BlockHash>,
+    cache_ids: IndexMap<VmId, CacheId, BuildHasherDefault<FastHasher>>,
+    caches: IndexMap<CacheId, EndpointCache, BuildHasherDefault<FastHasher>>,
+    next_id: u32,
 }
 
 impl PrefixIndex {
@@ -108,45 +108,45 @@
     }
 
     /// Notes that an endpoint was just given a prompt, which it will have cached.
-    pub fn learn(&mut self, endpoint: &VmId, prompt: &[BlockHash]) {
-        let holder = self.holder(endpoint);
+    pub fn record_cached(&mut self, endpoint: &VmId, prompt: &[BlockHash]) {
+        let holder = self.current_holder(endpoint);
         // From the last, so that memory runs out of the ends of prompts before their beginnings.
         for block in prompt.iter().rev() {
-            self.learn_block(holder, *block);
+            self.insert_block(holder, *block);
         }
     }
 
     /// Notes that an endpoint has these blocks no longer.
-    pub fn forget(&mut self, endpoint: &VmId, blocks: &[BlockHash]) {
-        let Some(slot) = self.slots.get(endpoint).copied() else {
+    pub fn record_evicted(&mut self, endpoint: &VmId, blocks: &[BlockHash]) {
+        let Some(cache_id) = self.cache_ids.get(endpoint).copied() else {
             return;
         };
         for block in blocks {
             if let Some(entry) = self.blocks.get_mut(block) {
-                entry.holders.retain(|h| h.slot != slot);
+                entry.holders.retain(|h| h.cache_id != cache_id);
             }
         }
     }
 
     /// Takes in an endpoint's event.
-    pub fn event(&mut self, endpoint: &VmId, event: &CacheEvent) {
+    pub fn apply_event(&mut self, endpoint: &VmId, event: &CacheEvent) {
         if event.sequence <= 1 {
             // The endpoint started anew, with nothing cached.
             self.remove(endpoint);
         }
-        let slot = self.holder(endpoint).slot;
-        let Some(source) = self.sources.get_mut(&slot) else {
+        let cache_id = self.current_holder(endpoint).cache_id;
+        let Some(cache) = self.caches.get_mut(&cache_id) else {
             return;
         };
-        if event.sequence > source.sequence + 1 {
-            source.gaps += 1;
+        if event.sequence > cache.sequence + 1 {
+            cache.gaps += 1;
         }
-        let late = event.sequence <= source.sequence;
-        source.sequence = source.sequence.max(event.sequence);
-        self.forget(endpoint, &event.removed);
+        let is_stale = event.sequence <= cache.sequence;
+        cache.sequence = cache.sequence.max(event.sequence);
+        self.record_evicted(endpoint, &event.removed);
         // What a late one says was stored may have been evicted by one that came before it.
-        if !late {
-            self.learn(endpoint, &event.stored);
+        if !is_stale {
+            self.record_cached(endpoint, &event.stored);
         }
     }
 
@@ -154,21 +154,27 @@
     ///
     /// Fewer than thought means that it evicted them unseen. What it ran it has cached again, but an endpoint that has
     /// less than thought time after time caches less than others, or nothing.
-    pub fn served(&mut self, endpoint: &VmId, prompt: &[BlockHash], thought: usize, cached: usize) {
-        self.learn(endpoint, prompt);
-        let Some(source) = self.source(endpoint) else {
+    pub fn record_served(
+        &mut self,
+        endpoint: &VmId,
+        prompt: &[BlockHash],
+        expected: usize,
+        cached: usize,
+    ) {
+        self.record_cached(endpoint, prompt);
+        let Some(cache) = self.cache(endpoint) else {
             return;
         };
-        match thought.cmp(&cached) {
-            Ordering::Greater => source.doubts += 1,
-            _ => source.doubts = 0,
+        match expected.cmp(&cached) {
+            Ordering::Greater => cache.overestimates += 1,
+            _ => cache.overestimates = 0,
         }
     }
 
     /// Forgets an endpoint.
     pub fn remove(&mut self, endpoint: &VmId) {
-        if let Some(slot) = self.slots.swap_remove(endpoint) {
-            self.sources.swap_remove(&slot);
+        if let Some(cache_id) = self.cache_ids.swap_remove(endpoint) {
+            self.caches.swap_remove(&cache_id);
         }
     }
 
@@ -180,7 +186,7 @@
     pub fn matches(&self, prompt: &[BlockHash]) -> Vec<Match> {
         let mut found: Vec<Match> = Vec::new();
         let longest = prompt.partition_point(|block| self.is_held(block));
-        for depth in (0..=SHORTER).map(|half| longest >> half) {
+        for depth in (0..=MAX_HALVINGS).map(|halvings| longest >> halvings) {
             self.add_holders(&mut found, prompt, depth);
         }
         found
@@ -192,15 +198,16 @@
             return;
         };
         for holder in &entry.holders {
-            let Some(source) = self.sources.get(&holder.slot) else {
+            let Some(cache) = self.caches.get(&holder.cache_id) else {
                 continue;
             };
-            let forgotten = holder.since(source) >= GAPS;
-            if !forgotten && found.iter().all(|m| m.endpoint != source.vm) {
+            let forgotten = holder.missed_gaps(cache) >= MAX_GAPS;
+            if !forgotten && found.iter().all(|m| m.endpoint != cache.vm) {
                 found.push(Match {
-                    endpoint: source.vm.clone(),
+                    endpoint: cache.vm.clone(),
                     blocks: depth,
-                    trust: KEPT.powi((holder.since(source) + source.doubts) as i32),
+                    confidence: GAP_CONFIDENCE
+                        .powi((holder.missed_gaps(cache) + cache.overestimates) as i32),
                 });
             }
         }
@@ -211,54 +218,54 @@
         entry.is_some_and(|entry| !entry.holders.is_empty())
     }
 
-    fn source(&mut self, endpoint: &VmId) -> Option<&mut Source> {
-        let slot = self.slots.get(endpoint)?;
-        self.sources.get_mut(slot)
+    fn cache(&mut self, endpoint: &VmId) -> Option<&mut EndpointCache> {
+        let cache_id = self.cache_ids.get(endpoint)?;
+        self.caches.get_mut(cache_id)
     }
 
-    fn holder(&mut self, endpoint: &VmId) -> Holder {
-        if let Some(slot) = self.slots.get(endpoint).copied() {
-            let gaps = self.sources.get(&slot).map_or(0, |s| s.gaps);
-            return Holder { slot, gaps };
+    fn current_holder(&mut self, endpoint: &VmId) -> Holder {
+        if let Some(cache_id) = self.cache_ids.get(endpoint).copied() {
+            let gaps = self.caches.get(&cache_id).map_or(0, |s| s.gaps);
+            return Holder { cache_id, gaps };
         }
-        let slot = Slot(self.next);
-        self.next += 1;
-        self.slots.insert(endpoint.clone(), slot);
-        let source = Source {
+        let cache_id = CacheId(self.next_id);
+        self.next_id += 1;
+        self.cache_ids.insert(endpoint.clone(), cache_id);
+        let cache = EndpointCache {
             vm: endpoint.clone(),
             sequence: 0,
             gaps: 0,
-            doubts: 0,
+            overestimates: 0,
         };
-        self.sources.insert(slot, source);
-        Holder { slot, gaps: 0 }
+        self.caches.insert(cache_id, cache);
+        Holder { cache_id, gaps: 0 }
     }
 
-    fn learn_block(&mut self, holder: Holder, block: BlockHash) {
+    fn insert_block(&mut self, holder: Holder, block: BlockHash) {
         let known = self.blocks.contains_key(&block);
         let entry = self.blocks.entry(block).or_default();
-        entry.used = known;
-        entry.holders.retain(|h| h.slot != holder.slot);
+        entry.referenced = known;
+        entry.holders.retain(|h| h.cache_id != holder.cache_id);
         entry.holders.push(holder);
-        if entry.holders.len() > HOLDERS {
+        if entry.holders.len() > MAX_HOLDERS {
             entry.holders.remove(0);
         }
         if !known {
-            self.order.push_back(block);
-            self.bound();
+            self.eviction_queue.push_back(block);
+            self.evict();
         }
     }
 
     /// Evicts the oldest blocks that were not used since it last came by.
-    fn bound(&mut self) {
-        while self.blocks.len() > MEMORY {
-            let Some(oldest) = self.order.pop_front() else {
+    fn evict(&mut self) {
+        while self.blocks.len() > MAX_BLOCKS {
+            let Some(oldest) = self.eviction_queue.pop_front() else {
                 return;
             };
             match self.blocks.get_mut(&oldest) {
-                Some(entry) if entry.used => {
-                    entry.used = false;
-                    self.order.push_back(oldest);
+                Some(entry) if entry.referenced => {
+                    entry.referenced = false;
+                    self.eviction_queue.push_back(oldest);
                 }
                 _ => drop(self.blocks.swap_remove(&oldest)),
             }
@@ -267,7 +274,7 @@
 }
 
 impl Holder {
-    fn since(self, source: &Source) -> u32 {
-        source.gaps - self.gaps
+    fn missed_gaps(self, cache: &EndpointCache) -> u32 {
+        cache.gaps - self.gaps
     }
 }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -263,7 +263,7 @@
         if let Some(pool) = self.pools.get_mut(&request.pool) {
             let blocks = blocks(request);
             pool.picker.chooser.start(now, &choice.endpoint);
-            pool.picker.index.learn(&choice.endpoint, &blocks);
+            pool.picker.index.record_cached(&choice.endpoint, &blocks);
         }
         self.send_prompt(now, id, choice);
     }
@@ -355,7 +355,7 @@
                 continue;
             }
             for event in events {
-                pool.picker.index.event(vm, event);
+                pool.picker.index.apply_event(vm, event);
             }
         }
     }
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -133,7 +133,7 @@
     let (chooser, ejector, vms, domain) = pool(12);
     let mut index = PrefixIndex::new();
     let prompt: Vec<_> = (0..300).map(BlockHash).collect();
-    index.learn(&vms[7], &prompt[..200]);
+    index.record_cached(&vms[7], &prompt[..200]);
     let wish = Criteria {
         model: None,
         prefix: &prompt,
@@ -146,7 +146,7 @@
         .choose(now, &wish, &index, &ejector, &mut rng())
         .unwrap();
     assert_eq!((choice.endpoint, choice.cached), (vms[7].clone(), 200));
-    index.forget(&vms[7], &prompt);
+    index.record_evicted(&vms[7], &prompt);
     assert!(index.matches(&prompt).is_empty());
 }
 
@@ -345,22 +345,22 @@
     };
     let found = |index: &PrefixIndex| {
         let found = index.matches(&prompt);
-        found.first().map_or((0, 0.0), |m| (m.blocks, m.trust))
+        found.first().map_or((0, 0.0), |m| (m.blocks, m.confidence))
     };
-    index.event(&vm, &event(1, &prompt, &[]));
+    index.apply_event(&vm, &event(1, &prompt, &[]));
     assert_eq!(found(&index), (4, 1.0));
-    index.event(&vm, &event(2, &[], &prompt[3..]));
+    index.apply_event(&vm, &event(2, &[], &prompt[3..]));
     assert_eq!(found(&index), (3, 1.0));
-    index.event(&vm, &event(5, &[], &[]));
+    index.apply_event(&vm, &event(5, &[], &[]));
     let (blocks, trust) = found(&index);
     assert!(blocks == 3 && trust < 1.0, "{trust}");
-    index.event(&vm, &event(3, &prompt, &prompt[2..]));
+    index.apply_event(&vm, &event(3, &prompt, &prompt[2..]));
     assert_eq!(found(&index), (2, trust), "a late event only takes away");
-    index.event(&vm, &event(1, &prompt[..1], &[]));
+    index.apply_event(&vm, &event(1, &prompt[..1], &[]));
     assert_eq!(found(&index), (1, 1.0), "a restart begins anew");
-    index.served(&vm, &prompt, 4, 0);
+    index.record_served(&vm, &prompt, 4, 0);
     assert!(found(&index).1 < 1.0, "it had less than thought");
-    index.served(&vm, &prompt, 4, 4);
+    index.record_served(&vm, &prompt, 4, 4);
     assert_eq!(found(&index), (4, 1.0));
 }
 
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -160,7 +160,7 @@
 
     pub(crate) fn cache(&mut self, engine: usize, event: &CacheEvent) {
         if let Self::Ours(ours) = self {
-            ours.index.event(&ours.vms[engine], event);
+            ours.index.apply_event(&ours.vms[engine], event);
         }
     }
 
@@ -269,7 +269,7 @@
         let choice = chosen?;
         let vm = choice.endpoint;
         self.chooser.start(now, &vm);
-        self.index.learn(&vm, &jobs[id].prompt);
+        self.index.record_cached(&vm, &jobs[id].prompt);
         Some(Sent {
             id,
             engine: self.vms.iter().position(|v| *v == vm)?,
@@ -282,7 +282,8 @@
         let vm = self.vms[engine].clone();
         let sample = match end {
             End::Whole(time, cached) => {
-                self.index.served(&vm, &job.prompt, job.thought, cached);
+                self.index
+                    .record_served(&vm, &job.prompt, job.thought, cached);
                 Sample::Answered(time)
             }
             End::Failed | End::Refused => {
