--- a/src/decide/borrowers.rs
+++ b/src/decide/borrowers.rs
@@ -14,20 +14,20 @@
 use crate::tokens::Tokens;
 
 /// How many borrowers are remembered: some fleets' lifetimes over.
-const REMEMBERED: usize = 4096;
+const MAX_BORROWERS: usize = 4096;
 
 /// What borrowers' callers have asked for, as far as they told.
 #[derive(Clone, Debug, Default)]
-pub struct Borrowers {
+pub struct BorrowerDemand {
     asked: IndexMap<Incarnation, Tokens, BuildHasherDefault<FastHasher>>,
 }
 
-impl Borrowers {
+impl BorrowerDemand {
     /// Takes in all that a borrower's callers have asked for so far, and returns how much of it is new: of one that asks for the
     /// first time, no more than the amount of its question.
-    pub fn ask(&mut self, borrower: Incarnation, asked: Tokens, amount: Tokens) -> Tokens {
+    pub fn record(&mut self, borrower: Incarnation, asked: Tokens, amount: Tokens) -> Tokens {
         let old = self.asked.insert(borrower, asked);
-        if self.asked.len() > REMEMBERED {
+        if self.asked.len() > MAX_BORROWERS {
             self.asked.swap_remove_index(0);
         }
         match old {
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -39,7 +39,7 @@
 pub use advice::Advice;
 pub use advice::Peer;
 pub use advice::advise;
-pub use borrowers::Borrowers;
+pub use borrowers::BorrowerDemand;
 pub use call_times::CallTimes;
 pub use capacity::Capacity;
 pub use capacity::draw_by_capacity;
--- a/src/decide/round_trips.rs
+++ b/src/decide/round_trips.rs
@@ -8,42 +8,44 @@
 use std::time::Instant;
 
 /// A VM whose peers take longer to answer is late: most objectives are some hundred milliseconds.
-const LATE: Duration = Duration::from_millis(50);
+const LATE_THRESHOLD: Duration = Duration::from_millis(50);
 
 /// How many of the shortest round trips an answer may take.
-const ROUNDS: u32 = 3;
+const TIMEOUT_ROUND_TRIPS: u32 = 3;
 
 /// How long an answer is waited for at most, unless it usually takes longer.
-const LONGEST: Duration = Duration::from_millis(600);
+const MAX_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How often the measure changes.
-const STEP: Duration = Duration::from_millis(250);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How many round trips it takes at least: one may be long for its peer's sake.
-const SAMPLES: u32 = 3;
+const MIN_SAMPLES: u32 = 3;
 
 /// The round trips between a router and its peers.
 #[derive(Debug, Default)]
 pub struct RoundTrips {
     shortest: Duration,
     /// The shortest since the last step, and how many there were.
-    next: Option<Duration>,
+    pending: Option<Duration>,
     samples: u32,
-    stepped: Option<Instant>,
+    updated: Option<Instant>,
 }
 
 impl RoundTrips {
     /// Takes in how long a peer took to answer.
-    pub fn sample(&mut self, now: Instant, round: Duration) {
-        let next = self.next.map_or(round, |next| next.min(round));
-        self.next = Some(next);
+    pub fn sample(&mut self, now: Instant, round_trip: Duration) {
+        let pending = self
+            .pending
+            .map_or(round_trip, |pending| pending.min(round_trip));
+        self.pending = Some(pending);
         self.samples += 1;
-        let due = self.stepped.is_none_or(|at| now >= at + STEP);
-        if due && self.samples >= SAMPLES {
-            self.shortest = next;
-            self.next = None;
+        let due = self.updated.is_none_or(|at| now >= at + UPDATE_INTERVAL);
+        if due && self.samples >= MIN_SAMPLES {
+            self.shortest = pending;
+            self.pending = None;
             self.samples = 0;
-            self.stepped = Some(now);
+            self.updated = Some(now);
         }
     }
 
@@ -53,12 +55,12 @@
     }
 
     /// Returns how long an answer may take that comes within a usual time elsewhere.
-    pub fn limit(&self, usual: Duration) -> Duration {
-        (self.shortest * ROUNDS).clamp(usual, LONGEST.max(usual))
+    pub fn timeout(&self, usual: Duration) -> Duration {
+        (self.shortest * TIMEOUT_ROUND_TRIPS).clamp(usual, MAX_TIMEOUT.max(usual))
     }
 
     /// Returns whether all that the VM does is late.
     pub fn is_late(&self) -> bool {
-        self.shortest > LATE
+        self.shortest > LATE_THRESHOLD
     }
 }
--- a/src/edge/peers.rs
+++ b/src/edge/peers.rs
@@ -273,7 +273,7 @@
     /// Asks a peer for a loan, and tells the core. The core asks again where no answer came.
     pub(crate) async fn borrow(self, ask: LoanAsk, peer: Peer) {
         // On a VM that is late, a question given up too early would be asked again over a new connection.
-        let limit = lock(&self.trips).limit(LOAN);
+        let limit = lock(&self.trips).timeout(LOAN);
         let asked = ask.clone();
         let call = |client: PeeringClient| async move {
             client.lend(deadline(limit), VERSION, asked).await
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -97,7 +97,7 @@
 pub use config::TeamSpec;
 pub use decide::AccountLimit;
 pub use decide::Advice;
-pub use decide::Borrowers;
+pub use decide::BorrowerDemand;
 pub use decide::BudgetView;
 pub use decide::CacheEvent;
 pub use decide::CallTimes;
--- a/src/router/allowance.rs
+++ b/src/router/allowance.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use crate::decide;
-use crate::decide::Borrowers;
+use crate::decide::BorrowerDemand;
 use crate::decide::Demand;
 use crate::decide::PriorityDemand;
 use crate::ids::RequestId;
@@ -71,7 +71,7 @@
     flow: Demand,
     /// All that callers here have asked for so far.
     pub(crate) asked: Tokens,
-    borrowers: Borrowers,
+    borrowers: BorrowerDemand,
     /// The part of reservations that is used, and the mean reservation, of late.
     pub(crate) part: f64,
     pub(crate) size: f64,
@@ -92,7 +92,7 @@
             own: Demand::new(now, WINDOW),
             flow: Demand::new(now, WINDOW),
             asked: Tokens::ZERO,
-            borrowers: Borrowers::default(),
+            borrowers: BorrowerDemand::default(),
             part: FIRST_PART,
             size: 1.0,
             first: None,
@@ -144,7 +144,7 @@
     /// Counts what a borrower's callers asked for since its last question, of which each of so many owners is asked a part.
     pub(crate) fn expect_loan(&mut self, now: Instant, ask: &LoanAsk, owners: u64) {
         self.first.get_or_insert(now);
-        let new = self.borrowers.ask(ask.borrower, ask.asked, ask.amount);
+        let new = self.borrowers.record(ask.borrower, ask.asked, ask.amount);
         let part = Tokens(new.0 / owners.max(1));
         self.ration.record(now, ask.priority, part);
     }
--- a/tests/decisions/round_trips.rs
+++ b/tests/decisions/round_trips.rs
@@ -54,8 +54,8 @@
 #[test]
 fn a_late_vm_waits_longer_for_answers() {
     let usual = ms(100);
-    assert_eq!(RoundTrips::default().limit(usual), usual);
-    assert_eq!(measure(5, 5).limit(usual), usual);
-    assert_eq!(measure(150, 150).limit(usual), ms(450));
-    assert_eq!(measure(900, 900).limit(usual), ms(600));
+    assert_eq!(RoundTrips::default().timeout(usual), usual);
+    assert_eq!(measure(5, 5).timeout(usual), usual);
+    assert_eq!(measure(150, 150).timeout(usual), ms(450));
+    assert_eq!(measure(900, 900).timeout(usual), ms(600));
 }
