--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -64,7 +64,7 @@
 pub use limit::AccountLimit;
 pub use limit::Refusal;
 pub use owners::Candidate;
-pub(crate) use owners::OWNERS;
+pub(crate) use owners::FLEET_OWNERS;
 pub use owners::Owners;
 pub(crate) use owners::TEAM_OWNERS;
 pub use prefill::Prefill;
--- a/src/decide/owners.rs
+++ b/src/decide/owners.rs
@@ -20,7 +20,7 @@
 
 /// Up to how many routers a fleet lets all of them keep all budgets, and how many keep them in a larger one: some thirty
 /// writes a second is what one partition takes on the condition of its end, and each owner writes twice a second.
-pub(crate) const OWNERS: usize = 16;
+pub(crate) const FLEET_OWNERS: usize = 16;
 
 /// How many owners a team has: while one restarts and another is cut off, the third lends.
 pub(crate) const TEAM_OWNERS: usize = 3;
@@ -42,25 +42,25 @@
 
 impl Owners {
     /// Draws them from all routers, each the more likely the larger it is; none where the fleet is so small that all keep.
-    pub fn draw(mut routers: Vec<Candidate>) -> Self {
-        if routers.len() <= OWNERS {
+    pub fn select(mut routers: Vec<Candidate>) -> Self {
+        if routers.len() <= FLEET_OWNERS {
             return Self::default();
         }
-        let most = Capacity::most(routers.iter().map(|router| router.capacity));
+        let max_capacity = Capacity::most(routers.iter().map(|router| router.capacity));
         routers.sort_by_cached_key(|router| {
-            let luck = fraction(xxh3_64(router.vm.as_str().as_bytes()));
+            let uniform = unit_fraction(xxh3_64(router.vm.as_str().as_bytes()));
             // The largest of such numbers is each one's as often as its weight says. Lending comes on top of what callers
             // ask of a VM by its size, so that a VM of half the size is an owner a quarter as often.
-            let weight = router.capacity.part(most).powi(2);
-            let order = weight.max(f64::MIN_POSITIVE) / -luck.ln();
-            (Reverse(order.to_bits()), router.vm.clone())
+            let weight = router.capacity.part(max_capacity).powi(2);
+            let key = weight.max(f64::MIN_POSITIVE) / -uniform.ln();
+            (Reverse(key.to_bits()), router.vm.clone())
         });
-        routers.truncate(OWNERS);
+        routers.truncate(FLEET_OWNERS);
         Self(routers)
     }
 
     /// Returns a team's owners, in different failure domains as far as possible; none where all routers keep.
-    pub fn of(&self, team: &TeamId) -> Vec<&VmId> {
+    pub fn for_team(&self, team: &TeamId) -> Vec<&VmId> {
         let seed = xxh3_64(team.as_str().as_bytes());
         let rank = |owner: &Candidate| xxh3_64_with_seed(owner.vm.as_str().as_bytes(), seed);
         let mut ranked: Vec<_> = self.0.iter().collect();
@@ -74,12 +74,12 @@
     }
 
     /// Returns whether all routers keep all budgets.
-    pub fn is_everyone(&self) -> bool {
+    pub fn includes_all(&self) -> bool {
         self.0.is_empty()
     }
 }
 
 /// Returns a number between 0 and 1, neither of them.
-fn fraction(hash: u64) -> f64 {
+fn unit_fraction(hash: u64) -> f64 {
     ((hash >> 12) as f64 + 0.5) / (1u64 << 52) as f64
 }
--- a/src/router/ownership.rs
+++ b/src/router/ownership.rs
@@ -31,7 +31,7 @@
     /// Takes over who the routers are.
     pub(super) fn take_routers(&mut self, me: &VmId, routers: Vec<Candidate>, peers: &[Peer]) {
         self.me = Some(me.clone());
-        self.owners = Owners::draw(routers);
+        self.owners = Owners::select(routers);
         let peers = peers.iter().map(|peer| (peer.vm.clone(), peer.clone()));
         self.peers = peers.collect();
         let teams: Vec<_> = self.elsewhere.keys().cloned().collect();
@@ -41,7 +41,7 @@
 
     /// Takes note of a team.
     pub(super) fn add(&mut self, team: &TeamId) {
-        let owners = self.owners.of(team);
+        let owners = self.owners.for_team(team);
         let mine = self.me.as_ref().is_some_and(|me| owners.contains(&me));
         let peers = match mine {
             true => Vec::new(),
@@ -85,7 +85,7 @@
 
     /// Returns whether this router is one of the few that keep a team's budget for all.
     pub(super) fn owns_for_all(&self, team: &TeamId) -> bool {
-        !self.owners.is_everyone() && self.owners(team).is_empty()
+        !self.owners.includes_all() && self.owners(team).is_empty()
     }
 
     /// Returns whether the routers are known. Before, each of a large fleet would take itself for the only one, and draw a good
@@ -96,6 +96,6 @@
 
     /// Returns whether all routers keep all budgets.
     pub(super) fn is_everyone(&self) -> bool {
-        self.owners.is_everyone()
+        self.owners.includes_all()
     }
 }
--- a/src/router/review.rs
+++ b/src/router/review.rs
@@ -5,8 +5,8 @@
 
 use crate::decide;
 use crate::decide::BudgetView;
+use crate::decide::FLEET_OWNERS;
 use crate::decide::HoldingAction;
-use crate::decide::OWNERS;
 use crate::decide::ReleaseLimit;
 use crate::decide::TEAM_OWNERS;
 use crate::escrow::Change;
@@ -90,7 +90,7 @@
     fn writers(&self) -> usize {
         match self.ownership.is_everyone() {
             true => self.others.routers() + 1,
-            false => OWNERS,
+            false => FLEET_OWNERS,
         }
     }
 
--- a/tests/decisions/owners.rs
+++ b/tests/decisions/owners.rs
@@ -31,7 +31,7 @@
 }
 
 fn kept(owners: &Owners, at: usize) -> Vec<VmId> {
-    owners.of(&team(at)).into_iter().cloned().collect()
+    owners.for_team(&team(at)).into_iter().cloned().collect()
 }
 
 /// Two hundred routers that each draw what one request needs write eight hundred times a second to a partition that takes a
@@ -40,7 +40,7 @@
 #[test]
 fn a_large_fleet_has_few_owners() {
     let routers = fleet(200);
-    let owners = Owners::draw(routers.clone());
+    let owners = Owners::select(routers.clone());
     let mut all = indexmap::IndexSet::new();
     for at in 0..TEAMS {
         let vms = kept(&owners, at);
@@ -68,13 +68,13 @@
     let all = fleet(200);
     let mut turned = all.clone();
     turned.reverse();
-    let before = Owners::draw(all.clone());
-    let again = Owners::draw(turned);
+    let before = Owners::select(all.clone());
+    let again = Owners::select(turned);
     let mut moved = 0;
     for gone in 0..all.len() {
         let mut rest = all.clone();
         rest.remove(gone);
-        let after = Owners::draw(rest);
+        let after = Owners::select(rest);
         let moves = |at: &usize| kept(&before, *at) != kept(&after, *at);
         moved += (0..TEAMS).filter(moves).count();
     }
@@ -89,7 +89,7 @@
 /// In a small fleet each router keeps what its callers need: a cut between two routers then stops nobody.
 #[test]
 fn in_a_small_fleet_all_keep() {
-    let owners = Owners::draw(fleet(16));
-    assert!(owners.is_everyone());
+    let owners = Owners::select(fleet(16));
+    assert!(owners.includes_all());
     assert!(kept(&owners, 0).is_empty());
 }
