--- a/src/decide/advice.rs
+++ b/src/decide/advice.rs
@@ -15,21 +15,21 @@
 
 /// How long a caller keeps an answer on average. Half a minute moves all callers off a leaving router well within the
 /// time that a graceful stop allows, and costs 3,200 accounts about a hundred short requests a second fleet-wide.
-const KEEP: Duration = Duration::from_secs(30);
+const MEAN_TTL: Duration = Duration::from_secs(30);
 
 /// How far the time varies to both sides. Callers that came together, after a router's death, are spread over half of
 /// the average time by their second question, and evenly after a few.
-const VARIED: f64 = 0.5;
+const TTL_JITTER: f64 = 0.5;
 
 /// The headroom, of 1, that each live router counts with at least: a full one still gets a caller now and then, so that
 /// load reports that are wrong or late can't shut it out.
-const LEAST: f64 = 0.02;
+const MIN_HEADROOM: f64 = 0.02;
 
 /// How much more a router in the caller's own failure domain counts: a few milliseconds are worth a little imbalance.
-const NEAR: f64 = 1.5;
+const SAME_DOMAIN_WEIGHT: f64 = 1.5;
 
 /// How many alternates an answer names: enough that a caller can outlive two routers' deaths without an answer.
-const ALTERNATES: usize = 2;
+const MAX_ALTERNATES: usize = 2;
 
 /// A router, as the one that gives advice knows it.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     /// The addresses to use when it can't be reached, in this order.
     pub alternates: Vec<String>,
     /// How long to keep the answer.
-    pub keep: Duration,
+    pub ttl: Duration,
 }
 
 /// Advises a caller, who may be known to be in a failure domain; nothing where no router is left.
@@ -62,41 +62,45 @@
 where
     R: Rng,
 {
-    let mut left: Vec<_> = peers
+    let mut candidates: Vec<_> = peers
         .iter()
         .filter(|p| !p.leaving)
         .map(|p| (weight(p, domain), p))
         .collect();
-    let address = draw(&mut left, rng)?.address.clone();
-    let alternates = std::iter::from_fn(|| draw(&mut left, rng))
-        .take(ALTERNATES)
+    let address = take_weighted(&mut candidates, rng)?.address.clone();
+    let alternates = std::iter::from_fn(|| take_weighted(&mut candidates, rng))
+        .take(MAX_ALTERNATES)
         .map(|p| p.address.clone())
         .collect();
-    let varied = rng.random_range(1.0 - VARIED..1.0 + VARIED);
+    let jitter = rng.random_range(1.0 - TTL_JITTER..1.0 + TTL_JITTER);
     Some(Advice {
         address,
         alternates,
-        keep: KEEP.mul_f64(varied),
+        ttl: MEAN_TTL.mul_f64(jitter),
     })
 }
 
 fn weight(peer: &Peer, domain: Option<&DomainId>) -> f64 {
-    let headroom = (1.0 - peer.load).clamp(LEAST, 1.0);
-    let near = domain.is_some_and(|d| *d == peer.domain);
-    if near { headroom * NEAR } else { headroom }
+    let headroom = (1.0 - peer.load).clamp(MIN_HEADROOM, 1.0);
+    let same_domain = domain.is_some_and(|d| *d == peer.domain);
+    if same_domain {
+        headroom * SAME_DOMAIN_WEIGHT
+    } else {
+        headroom
+    }
 }
 
 /// Draws one by weight and takes it out.
-fn draw<'a, R>(left: &mut Vec<(f64, &'a Peer)>, rng: &mut R) -> Option<&'a Peer>
+fn take_weighted<'a, R>(candidates: &mut Vec<(f64, &'a Peer)>, rng: &mut R) -> Option<&'a Peer>
 where
     R: Rng,
 {
-    let total: f64 = left.iter().map(|(weight, _)| weight).sum();
+    let total: f64 = candidates.iter().map(|(weight, _)| weight).sum();
     let mut at = rng.random_range(0.0..1.0) * total;
-    let hit = left.iter().position(|(weight, _)| {
+    let drawn = candidates.iter().position(|(weight, _)| {
         at -= weight;
         at < 0.0
     });
-    let last = left.len().checked_sub(1)?;
-    Some(left.swap_remove(hit.unwrap_or(last)).1)
+    let last = candidates.len().checked_sub(1)?;
+    Some(candidates.swap_remove(drawn.unwrap_or(last)).1)
 }
--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -56,7 +56,7 @@
     fn answer_address(&mut self, now: Instant, id: AdminId) {
         match self.advice(now) {
             Some(advice) => {
-                let keep = advice.keep.min(self.tuning.keep);
+                let keep = advice.ttl.min(self.tuning.keep);
                 let keep = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
                 let body = json!({
                     "address": advice.address,
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -328,7 +328,7 @@
     assert_eq!((advice.len(), to(0)), (1000, 0));
     assert!(to(1) < 60 && to(2) > 400 && to(3) > 400);
     assert!(advice.iter().all(|a| a.alternates.len() == 2));
-    let early = advice.iter().filter(|a| a.keep < ms(30_000)).count();
+    let early = advice.iter().filter(|a| a.ttl < ms(30_000)).count();
     assert!((400..600).contains(&early), "{early}");
     assert_eq!(advise(&peers[..1], None, &mut rng), None);
 }
--- a/tests/decisions/herd.rs
+++ b/tests/decisions/herd.rs
@@ -64,7 +64,7 @@
     let advice = advise(peers, None, rng).expect("some are alive");
     caller.router = number(&advice.address);
     caller.alternates = advice.alternates.iter().map(|a| number(a)).collect();
-    caller.until = now + advice.keep.as_secs_f64();
+    caller.until = now + advice.ttl.as_secs_f64();
 }
 
 fn herd(plain: bool) -> Herd {
