--- a/src/decide/ration.rs
+++ b/src/decide/ration.rs
@@ -22,7 +22,7 @@
     /// How fast it is asked for, by requests of all priorities, in tokens a second.
     pub demand: f64,
     /// How long until there may be more.
-    pub horizon: Duration,
+    pub lasts: Duration,
 }
 
 /// How fast a budget is asked for, by priority.
@@ -56,9 +56,8 @@
 
     /// Returns whether a request may be paid without taking what more urgent ones will need.
     pub fn admits(&self, now: Instant, budget: &Remainder, priority: u8, amount: Tokens) -> bool {
-        let reserved = budget.demand
-            * self.higher_priority_share(now, priority)
-            * budget.horizon.as_secs_f64();
+        let reserved =
+            budget.demand * self.higher_priority_share(now, priority) * budget.lasts.as_secs_f64();
         budget.left.saturating_sub(amount).0 as f64 >= reserved
     }
 
--- a/src/router/rationing.rs
+++ b/src/router/rationing.rs
@@ -165,7 +165,7 @@
         Remainder {
             left,
             demand: self.team_demand(now, team),
-            horizon: match self.cut_left(now) {
+            lasts: match self.cut_left(now) {
                 Some(left) => left,
                 None if self.is_mostly_lost(team, left) => LAST,
                 None => Duration::ZERO,
--- a/src/router/statement.rs
+++ b/src/router/statement.rs
@@ -24,7 +24,7 @@
             reserved = %allowance.reserved, spent = %allowance.spent, elsewhere = %self.book.others(team),
             spent_elsewhere = %self.book.others_spent(team),
             undrawn = %self.book.undrawn(team, allowance.prepaid), in_reach = %rest.left,
-            demand = rest.demand as u64, lasts_ms = rest.horizon.as_millis() as u64,
+            demand = rest.demand as u64, lasts_ms = rest.lasts.as_millis() as u64,
             age_ms = self.word_age(now),
         );
     }
--- a/tests/decisions/ration.rs
+++ b/tests/decisions/ration.rs
@@ -96,7 +96,7 @@
     Remainder {
         left,
         demand: ration.rate(now),
-        horizon: end.saturating_duration_since(now),
+        lasts: end.saturating_duration_since(now),
     }
 }
 
@@ -131,7 +131,7 @@
     let rest = Remainder {
         left: Tokens(100),
         demand: ration.rate(now),
-        horizon: CUT,
+        lasts: CUT,
     };
     assert!(ration.admits(now, &rest, 2, Tokens(100)));
 }
