--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -189,14 +189,14 @@
     ) -> Option<(u64, Instant)> {
         self.homes.record(now, prompt);
         let prefill = &mut self.endpoints.get_mut(&choice.endpoint)?.prefill;
-        let unread = prefill.uncached_tokens(now, prompt, choice.home);
-        Some((unread, prefill.record_sent(now, prompt.shared, unread)))
+        let uncached = prefill.uncached_tokens(now, prompt, choice.home);
+        Some((uncached, prefill.record_sent(now, prompt.shared, uncached)))
     }
 
     /// Counts a prompt that another router sent to an endpoint, of which so many tokens were unread.
-    pub fn record_remote_prompt(&mut self, now: Instant, vm: &VmId, shared: u64, unread: u64) {
+    pub fn record_remote_prompt(&mut self, now: Instant, vm: &VmId, shared: u64, uncached: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
-            endpoint.prefill.record_sent(now, shared, unread);
+            endpoint.prefill.record_sent(now, shared, uncached);
         }
     }
 
@@ -207,12 +207,12 @@
         vm: &VmId,
         sent: Instant,
         expected: Instant,
-        unread: u64,
+        uncached: u64,
     ) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint
                 .prefill
-                .record_first_token(now, sent, expected, unread);
+                .record_first_token(now, sent, expected, uncached);
         }
     }
 
