--- a/src/decide/advice.rs
+++ b/src/decide/advice.rs
@@ -1,9 +1,9 @@
-//! Which router a caller should use.
+//! Advises callers which router to use.
 //!
-//! Answers callers that choose for themselves: all take the first address they were given, keep it for ever, and when
-//! that router leaves move together to the next one, which falls over in its turn. Without a balancer, the spread of
-//! callers is whatever the addresses spread. Each answer is drawn at random by headroom, and is kept for a time that
-//! varies from answer to answer.
+//! Callers that choose for themselves all take the first address they were given, keep it indefinitely, and when that
+//! router leaves move together to the next one, which is overloaded in turn. Without a load balancer, callers are
+//! spread only as the addresses spread them. Each answer is drawn at random, weighted by headroom, and is valid for a
+//! time that varies from answer to answer.
 
 use std::time::Duration;
 
@@ -13,51 +13,52 @@
 use crate::ids::DomainId;
 use crate::ids::VmId;
 
-/// How long a caller keeps an answer on average. Half a minute moves all callers off a leaving router well within the
-/// time that a graceful stop allows, and costs 3,200 accounts about a hundred short requests a second fleet-wide.
+/// Mean validity of an answer. Half a minute moves all callers off a leaving router well within the time that a
+/// graceful stop allows, and costs about a hundred short requests per second fleet-wide for 3,200 accounts.
 const MEAN_TTL: Duration = Duration::from_secs(30);
 
-/// How far the time varies to both sides. Callers that came together, after a router's death, are spread over half of
-/// the average time by their second question, and evenly after a few.
+/// Relative variation of the validity in both directions. Callers that moved together after a router's crash are spread
+/// over half of the mean validity by their second request, and evenly after a few.
 const TTL_JITTER: f64 = 0.5;
 
-/// The headroom, of 1, that each live router counts with at least: a full one still gets a caller now and then, so that
-/// load reports that are wrong or late can't shut it out.
+/// Minimum headroom, from 0 to 1, that each live router counts with: a full one still receives an occasional caller, so
+/// that wrong or late load reports can't exclude it.
 const MIN_HEADROOM: f64 = 0.02;
 
-/// How much more a router in the caller's own failure domain counts: a few milliseconds are worth a little imbalance.
+/// Weight of a router in the caller's own failure domain, relative to others: a few milliseconds justify a small
+/// imbalance.
 const SAME_DOMAIN_WEIGHT: f64 = 1.5;
 
-/// How many alternates an answer names: enough that a caller can outlive two routers' deaths without an answer.
+/// Number of alternates in an answer: enough for a caller to survive the loss of two routers without another answer.
 const MAX_ALTERNATES: usize = 2;
 
-/// A router, as the one that gives advice knows it.
+/// A router, as known to the one that gives advice.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Its VM.
     pub vm: VmId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where callers reach it.
+    /// Address at which callers reach it.
     pub address: String,
-    /// How full it is, from 0 to 1, as it last said.
+    /// Its utilization from 0 to 1, as last reported.
     pub load: f64,
     /// Whether it is about to stop.
     pub leaving: bool,
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advice {
-    /// The address to use.
+    /// Address to use.
     pub address: String,
-    /// The addresses to use when it can't be reached, in this order.
+    /// Addresses to use if it can't be reached, in this order.
     pub alternates: Vec<String>,
-    /// How long to keep the answer.
+    /// How long the answer is valid.
     pub ttl: Duration,
 }
 
-/// Advises a caller, who may be known to be in a failure domain; nothing where no router is left.
+/// Returns advice for a caller, whose failure domain may be known; `None` if no router is left.
 pub fn advise<R>(peers: &[Peer], domain: Option<&DomainId>, rng: &mut R) -> Option<Advice>
 where
     R: Rng,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Draws one by weight and takes it out.
+/// Draws a peer by weight and removes it.
 fn take_weighted<'a, R>(candidates: &mut Vec<(f64, &'a Peer)>, rng: &mut R) -> Option<&'a Peer>
 where
     R: Rng,
--- a/src/decide/borrowers.rs
+++ b/src/decide/borrowers.rs
@@ -1,9 +1,10 @@
-//! How much demand stands behind questions for loans.
+//! Caller demand behind loan requests.
 //!
-//! Answers owners of a budget that are asked the same thing again and again: a question is repeated when no answer came, goes to
-//! the next owner when one had too little, and owners ask each other on behalf of those that asked them. Each question counted
-//! as demand, the believed demand grows without bound, and with it what is drawn, promised, rationed and asked for ahead.
-//! Here a borrower tells with each question all that its own callers have asked for so far, and only what is new counts.
+//! Owners of a budget receive the same loan request repeatedly: it is retried when no answer arrives, sent to the next
+//! owner when one has too few tokens, and owners ask each other on behalf of their borrowers. If each request counted
+//! as demand, the estimated demand would grow without bound, and with it the amounts that are drawn, promised, rationed
+//! and requested in advance. Here a borrower reports with each request the total that its own callers have asked for so
+//! far, and only the increase counts.
 
 use std::hash::BuildHasherDefault;
 
@@ -13,25 +14,25 @@
 use crate::ids::Incarnation;
 use crate::tokens::Tokens;
 
-/// How many borrowers are remembered: some fleets' lifetimes over.
+/// Number of borrowers remembered: enough for several generations of a whole fleet.
 const MAX_BORROWERS: usize = 4096;
 
-/// What borrowers' callers have asked for, as far as they told.
+/// Total demand of the callers of each borrower, as last reported.
 #[derive(Clone, Debug, Default)]
 pub struct BorrowerDemand {
     asked: IndexMap<Incarnation, Tokens, BuildHasherDefault<FastHasher>>,
 }
 
 impl BorrowerDemand {
-    /// Takes in all that a borrower's callers have asked for so far, and returns how much of it is new: of one that asks for the
-    /// first time, no more than the amount of its question.
+    /// Records the total that a borrower's callers have asked for so far, and returns the increase. For a borrower's
+    /// first request, this is at most the requested amount.
     pub fn record(&mut self, borrower: Incarnation, asked: Tokens, amount: Tokens) -> Tokens {
         let old = self.asked.insert(borrower, asked);
         if self.asked.len() > MAX_BORROWERS {
             self.asked.swap_remove_index(0);
         }
         match old {
-            // An old question that comes late.
+            // A delayed older request.
             Some(old) if old > asked => {
                 self.asked.insert(borrower, old);
                 Tokens::ZERO
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -1,11 +1,12 @@
-//! Which endpoint a request goes to.
+//! Selection of the endpoint for a request.
 //!
-//! Answers many routers that choose among the same endpoints by load reports that lag: the least loaded endpoint of the
-//! last report gets everybody's requests until the next one, and is then the most loaded. Without care the fleet swings.
-//! A router corrects each report by what it sent itself since, averages what is left, draws a few endpoints at random and
-//! takes the best of these and of those that have the prompt's prefix cached. It knows a stable subset of a large fleet, picked by
-//! rendezvous hash over its own name, so that prefixes and reports stay few and useful. A prompt that is known by the names
-//! of its parts may go to any: where its parts lie is reckoned, not learnt (see [`crate::decide::homes`]).
+//! Many routers choose among the same endpoints by load reports that lag: the least loaded endpoint of the last report
+//! receives all requests until the next report, and is then the most loaded, so that the load of the fleet oscillates.
+//! A router corrects each report by what it has sent itself since, averages the rest, draws a few endpoints at random
+//! and takes the best of these and of those that have the prompt's prefix cached. In a large fleet it uses a stable
+//! subset of the endpoints, selected by rendezvous hashing with its own name, so that prefixes and reports stay few and
+//! useful. A prompt whose parts are identified by name may go to any endpoint: where its shared prefix is cached is
+//! computed, not learned (see [`crate::decide::homes`]).
 
 use std::collections::BTreeSet;
 use std::hash::BuildHasherDefault;
@@ -30,39 +31,40 @@
 use crate::ids::VmId;
 use crate::prompt::BlockHash;
 
-/// How many endpoints of one model a router chooses among by their load reports. All of them at today's 12 and 18; at 35 models, 1,120 load
-/// reports of 30 bytes every 5 seconds are just within the 7 KB/s that a node may spend for control.
+/// Endpoints of one model that a router chooses among by their load reports. This includes all of today's 12 and 18; at
+/// 35 models, 1,120 load reports of 30 bytes every 5 seconds are just within the 7 KB/s that a node may use for
+/// control.
 const SUBSET_SIZE: usize = 32;
 
-/// How many random endpoints are compared. With two, as with reports taken at their word, waits are longer; with all of
-/// them routers with the same reports agree too often.
+/// Number of random endpoints that are compared. With two, or with reports taken at face value, waits are longer; with
+/// all of them, routers with the same reports choose the same endpoint too often.
 const SAMPLE_SIZE: usize = 6;
 
-/// What an endpoint says of its load.
+/// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Requests in its batch.
     pub running: u32,
     /// Requests in its queue.
     pub waiting: u32,
-    /// When it counted.
+    /// When the requests were counted.
     pub measured: Instant,
 }
 
-/// What is to be run.
+/// What the choice of an endpoint depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// The model that must be loaded, if one must.
+    /// Model that must be loaded, if any.
     pub model: Option<&'a ModelId>,
-    /// The prompt's blocks, from the first.
+    /// Blocks of the prompt, from the first.
     pub prefix: &'a [BlockHash],
-    /// Where it is asked.
+    /// Failure domain in which the request arrived.
     pub domain: &'a DomainId,
-    /// Endpoints that it must not go to, having failed it before.
+    /// Endpoints to avoid, because the request failed there before.
     pub excluded: &'a [VmId],
-    /// How much of the endpoints its account had lately.
+    /// Recent usage of the endpoints by the account.
     pub usage: Usage,
-    /// The prompt, where it is known by the names of its parts.
+    /// Prompt whose parts are identified by name, if they are.
     pub prompt: Option<Prompt>,
 }
 
@@ -71,9 +73,9 @@
 pub struct Choice {
     /// The endpoint.
     pub endpoint: VmId,
-    /// How many leading blocks of the prompt it is thought to have cached.
+    /// Estimated number of leading blocks of the prompt that it has cached.
     pub cached: usize,
-    /// Whether it is a home of the prompt's shared parts, which it is thought to keep though nobody told.
+    /// Whether it is a home of the prompt's shared prefix, which it is assumed to have cached without a report.
     pub home: bool,
 }
 
@@ -82,13 +84,13 @@
 pub struct Chooser {
     seed: u64,
     endpoints: IndexMap<VmId, Endpoint, BuildHasherDefault<FastHasher>>,
-    /// The endpoints of each model, and all of them under none, in the order in which this router prefers them.
+    /// Endpoints of each model, and all of them under `None`, in this router's order of preference.
     ranked: IndexMap<Option<ModelId>, BTreeSet<(u64, VmId)>>,
     homes: Homes,
 }
 
 impl Chooser {
-    /// Makes one that knows no endpoint, for the router on this VM.
+    /// Creates a chooser without endpoints, for the router on this VM.
     pub fn new(router: &VmId) -> Self {
         Self {
             seed: xxh3_64_with_seed(router.as_str().as_bytes(), 0),
@@ -98,12 +100,12 @@
         }
     }
 
-    /// Takes note of how many routers choose among these endpoints for like callers.
+    /// Sets the number of routers that choose among these endpoints for similar callers.
     pub fn set_router_count(&mut self, routers: usize) {
         self.homes.set_router_count(routers);
     }
 
-    /// Adds an endpoint, or changes its models and limit.
+    /// Adds an endpoint, or updates its models and limit.
     pub fn put(&mut self, vm: &VmId, domain: &DomainId, models: &[ModelId], limit: u32) {
         let rank = self.rank(vm);
         self.unrank(vm);
@@ -124,7 +126,7 @@
         endpoint.own.change(limit);
     }
 
-    /// Keeps the limit of an endpoint at its setting.
+    /// Fixes the limit of an endpoint at its configured value.
     pub fn fix_limit(&mut self, vm: &VmId) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.own.fix();
@@ -137,29 +139,29 @@
         self.endpoints.swap_remove(vm);
     }
 
-    /// Marks an endpoint as leaving: from now on it gets nothing new.
+    /// Sets whether an endpoint is leaving. A leaving endpoint receives no new requests.
     pub fn set_leaving(&mut self, vm: &VmId, leaving: bool) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.leaving = leaving;
         }
     }
 
-    /// Takes over until when an endpoint is cold, nothing where it is warm, and how many requests a second this router may
-    /// send it while it is.
+    /// Sets until when an endpoint is cold, `None` if it is warm, and how many requests per second this router may send
+    /// it until then.
     pub fn set_cold(&mut self, vm: &VmId, until: Option<Instant>, share: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.cool(until, share);
         }
     }
 
-    /// Takes in an endpoint's load report, which counted this router's own requests of that time too.
+    /// Records an endpoint's load report, which includes this router's own requests at that time.
     pub fn report(&mut self, now: Instant, vm: &VmId, load: Load) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.report(now, load);
         }
     }
 
-    /// Counts a request that is sent to an endpoint, and tells whether its limit allows it.
+    /// Counts a request that is sent to an endpoint, and returns whether its limit allows it.
     pub fn start(&mut self, now: Instant, vm: &VmId) -> bool {
         self.endpoints.get_mut(vm).is_some_and(|endpoint| {
             let started = endpoint.own.try_acquire();
@@ -171,7 +173,7 @@
         })
     }
 
-    /// Counts a request that ended at an endpoint, and learns from how it went.
+    /// Counts a request that ended at an endpoint, and updates the endpoint's limit by the outcome.
     pub fn end(&mut self, now: Instant, vm: &VmId, sample: Sample) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.own.release(now, sample);
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Counts a prompt that is sent to the endpoint that was chosen for it; returns how many of its tokens are unread there,
-    /// and when its first token is expected.
+    /// Records a prompt that is sent to the endpoint chosen for it. Returns how many of its tokens are not cached
+    /// there, and when its first token is expected.
     pub fn record_prompt(
         &mut self,
         now: Instant,
@@ -193,14 +195,14 @@
         Some((uncached, prefill.record_sent(now, prompt.shared, uncached)))
     }
 
-    /// Counts a prompt that another router sent to an endpoint, of which so many tokens were unread.
+    /// Records a prompt with `uncached` tokens to process that another router sent to an endpoint.
     pub fn record_remote_prompt(&mut self, now: Instant, vm: &VmId, shared: u64, uncached: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(vm) {
             endpoint.prefill.record_sent(now, shared, uncached);
         }
     }
 
-    /// Learns from a first token.
+    /// Updates an endpoint's prefill estimates from a first token.
     pub fn record_first_token(
         &mut self,
         now: Instant,
@@ -226,7 +228,7 @@
         self.endpoints.get(vm).map(|e| e.load(now) as u32)
     }
 
-    /// Chooses an endpoint, or none where all that could are full, leaving, ejected or excluded.
+    /// Chooses an endpoint; `None` if all suitable ones are full, leaving, ejected or excluded.
     pub fn choose<R>(
         &self,
         now: Instant,
@@ -262,11 +264,11 @@
             })
     }
 
-    /// Chooses the engine where a prompt's first token is expected first.
+    /// Chooses the engine with the earliest expected first token.
     ///
-    /// All routers reckon the homes of its shared parts alike, so that these are read at few engines however many routers
-    /// there are. Of several that are as good one is drawn: if each router preferred one for good, a few of the homes of a
-    /// part that many ask for would have most of its requests.
+    /// All routers compute the same homes of a shared prefix, so that few engines process it however many routers there
+    /// are. Ties are broken at random: if each router had a fixed preference, a few of the homes of a popular prefix
+    /// would receive most of its requests.
     fn choose_by_first_token<R>(
         &self,
         now: Instant,
@@ -293,7 +295,7 @@
         })
     }
 
-    /// Returns the ranks of the engines that are the homes of a prompt's shared parts.
+    /// Returns the ranks of the engines that are homes of a prompt's shared prefix.
     fn homes_among(
         &self,
         now: Instant,
@@ -330,7 +332,7 @@
             .filter(|(vm, endpoint)| endpoint.admits(now, health.health(now, vm), criteria.usage))
             .filter(|(vm, _)| !criteria.excluded.contains(vm))
             .collect();
-        // Cold endpoints are for what warm ones have no room for.
+        // Cold endpoints receive only requests for which the warm ones have no room.
         if candidates
             .iter()
             .any(|(_, endpoint)| !endpoint.is_cold(now))
@@ -358,7 +360,7 @@
     }
 }
 
-/// Draws places below `len`, as many as are compared.
+/// Draws `SAMPLE_SIZE` random indices below `len`.
 fn random_indices<R>(len: usize, rng: &mut R) -> [usize; SAMPLE_SIZE]
 where
     R: Rng,
--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -1,16 +1,16 @@
-//! How fast a queue drains.
+//! Drain rate of a queue.
 
 use std::time::Instant;
 
 use crate::tokens::Tokens;
 
-/// The time over which the drain rate is averaged: several answers, so that one long one does not swing it.
+/// Window over which the drain rate is averaged: several answers, so that a single long one does not distort it.
 const WINDOW_SECS: f64 = 5.0;
 
-/// The time that must have been measured before the rate is believed.
+/// Minimum measured time before the rate is reported.
 const MIN_MEASURED_SECS: f64 = 0.25;
 
-/// Measures how fast the queue drains while something waits in it.
+/// Measures how fast the queue drains while requests wait in it.
 #[derive(Debug, Default)]
 pub(super) struct DrainRate {
     cost: f64,
@@ -45,7 +45,7 @@
         self.since = Some(now);
     }
 
-    /// Returns the cost served a second. The time since the last one counts, so that a stall shows.
+    /// Returns the cost served per second. The time since the last request counts, so that a stall lowers the rate.
     pub(super) fn rate(&self, now: Instant) -> Option<f64> {
         let idle = self
             .since
--- a/src/decide/holding.rs
+++ b/src/decide/holding.rs
@@ -1,9 +1,10 @@
-//! How much of a team's budget a router holds.
+//! Size of a router's holding of a team's budget.
 //!
-//! Answers two patterns that pull apart: a partition from the log, in which a router can spend only what it drew before,
-//! and a budget that runs low, where what one router holds idle makes another refuse although the team has tokens left.
-//! Holding much serves the first and fails the second. Each router holds what its demand needs for a while, but never
-//! more than a fixed part of what is still undrawn: as the budget drains, all holdings shrink with it.
+//! Two failures pull in opposite directions. In a partition from the log, a router can spend only what it drew before.
+//! When a budget runs low, tokens held idle by one router make another refuse requests although the team has tokens
+//! left. A large holding helps in the first case and harms in the second. Each router holds what its demand needs for
+//! some time, but never more than a fixed fraction of the undrawn tokens, so that all holdings shrink as the budget
+//! drains.
 
 use std::time::Duration;
 
@@ -12,70 +13,71 @@
 
 use crate::tokens::Tokens;
 
-/// How much demand a holding covers: a partition of an hour, and a half for demand that rises meanwhile.
+/// Duration of demand that a holding covers: a partition of an hour, and a half more for demand that rises meanwhile.
 const COVER_TIME: Duration = Duration::from_secs(5400);
 
-/// What all routers together may hold for each token undrawn, leaning to availability: with two thirds held, a budget of
-/// two hours still covers an hour's partition of those with most of the callers.
+/// Tokens that all routers together may hold for each undrawn token in `Available` mode: with two thirds held, a budget
+/// of two hours still covers an hour's partition of the routers with most of the callers.
 const AVAILABLE_HOLD_RATIO: f64 = 2.0;
 
-/// The same, leaning to strictness. At 1, seven in a hundred requests of that partition were refused; at 1.5, one in seven
+/// The same in `Strict` mode. At 1, seven in a hundred requests of that partition were refused; at 1.5, one in seven
 /// hundred.
 const STRICT_HOLD_RATIO: f64 = 1.5;
 
-/// A holding is filled up below this part of its aim: an hour's cover is left at any time, and a router appends a draw for
-/// a team once in ten minutes or so.
+/// Fraction of its target below which a holding is refilled: an hour's cover always remains, and a router appends a
+/// draw for a team about once in ten minutes.
 const LOW_WATERMARK: f64 = 0.85;
 
-/// A holding is emptied down to its aim above so many times it. Nearer to 1, each settled reservation would be followed by
-/// a return.
+/// Multiple of its target above which a holding is reduced to the target. Closer to 1, each settled reservation would
+/// be followed by a return.
 const HIGH_WATERMARK: f64 = 1.5;
 
-/// The part of its fair part that a router holds of a team in use, however rarely it was asked for it: the callers of a
-/// router that goes down come here at once, and in a log outage nothing can be drawn for them.
+/// The minimum holding of a team in use is the fair share divided by this, however low the demand: when a router fails,
+/// its callers move here at once, and in a log outage nothing can be drawn for them.
 const MIN_SHARE_DIVISOR: u64 = 4;
 
-/// Which fault weighs more: one setting for a deployment.
+/// Deployment-wide choice between visibility of the budget and availability.
 ///
-/// Overspend is nought for both; what differs is how much of a budget lies at routers.
+/// Neither mode overspends; they differ in how much of a budget the routers hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConsistencyMode {
-    /// Less lies at routers, so that an operator sees what is left; a long partition refuses sooner when it runs low.
+    /// Routers hold less, so that operators see what is left; long partitions cause refusals sooner when a budget runs
+    /// low.
     #[default]
     Strict,
-    /// Much lies at routers, for an hour's partition.
+    /// Routers hold more, enough for an hour's partition.
     Available,
 }
 
-/// What a router knows of a team's budget and its own part in it.
+/// A router's view of a team's budget and of its own holding.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetView {
-    /// What it holds free.
+    /// Unreserved tokens that the router holds.
     pub free: Tokens,
-    /// What its open claims reserve.
+    /// Tokens reserved by its open claims.
     pub claimed: Tokens,
-    /// What no router has drawn, as last folded.
+    /// Tokens that no router has drawn, as of the last applied record.
     pub undrawn: Tokens,
-    /// How many routers are open, itself among them.
+    /// Number of open routers, including this one.
     pub routers: usize,
-    /// Its own recent demand on the team, in tokens a second.
+    /// The router's own recent demand on the team's budget, in tokens per second.
     pub demand: f64,
-    /// The whole team's recent demand, as its bills in the ledger show it, in tokens a second; nought where unknown.
+    /// Recent demand of the whole team, from its bills in the ledger, in tokens per second; 0 if unknown.
     pub team_demand: f64,
-    /// What the request at hand needs, or nothing.
+    /// Tokens that the current request needs, or 0.
     pub wanted: Tokens,
-    /// Whether the log can be reached.
+    /// Whether the log is reachable.
     pub reachable: bool,
 }
 
 impl BudgetView {
-    /// Returns what its own demand needs for a while.
+    /// Returns the tokens that the router's own demand needs over `cover`.
     fn needed(&self, cover: Duration) -> Tokens {
         Tokens((self.demand * cover.as_secs_f64()) as u64)
     }
 
-    /// Returns the router's part of the team's demand, of 1.
+    /// Returns the router's fraction of the team's demand, from 0 to 1.
     fn demand_share(&self) -> f64 {
         match self.team_demand > 0.0 {
             true => (self.demand / self.team_demand).min(1.0),
@@ -84,14 +86,14 @@
     }
 }
 
-/// What to do with a holding.
+/// Change to a holding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldingAction {
-    /// Nothing.
+    /// No change.
     None,
-    /// Draw more.
+    /// Draw more tokens.
     Draw(Tokens),
-    /// Give some back.
+    /// Return some tokens.
     Return(Tokens),
 }
 
@@ -103,7 +105,7 @@
 }
 
 impl HoldingPolicy {
-    /// Makes a policy that leans to one side.
+    /// Creates the policy of a consistency mode.
     pub fn new(mode: ConsistencyMode) -> Self {
         let hold_ratio = match mode {
             ConsistencyMode::Available => AVAILABLE_HOLD_RATIO,
@@ -115,13 +117,13 @@
         }
     }
 
-    /// Makes a policy whose holdings cover another time of demand, the longest partition that is to be borne, and that
-    /// lets all routers together hold at most so much for each token undrawn.
+    /// Creates a policy whose holdings cover another duration of demand, the longest partition to survive, and that
+    /// lets all routers together hold at most `hold_ratio` tokens for each undrawn token.
     pub fn with_cover(cover: Duration, hold_ratio: f64) -> Self {
         Self { cover, hold_ratio }
     }
 
-    /// Decides what to do now.
+    /// Returns the change to make now.
     pub fn decide(&self, view: &BudgetView) -> HoldingAction {
         if !view.reachable {
             return HoldingAction::None;
@@ -150,24 +152,26 @@
         HoldingAction::None
     }
 
-    /// Returns the part of what is undrawn that a router may hold.
+    /// Returns how many tokens the router may hold, as its share of the undrawn tokens.
     fn fair_share(&self, view: &BudgetView) -> Tokens {
         Tokens((view.undrawn.0 as f64 * self.hold_ratio * view.demand_share()) as u64)
     }
 
-    /// Returns how far to go of the way to a fair part.
+    /// Returns how much of the distance to the fair share to cover now.
     ///
-    /// All routers see the same amount undrawn and act on it together. Going all the way, they draw it empty, see that it
-    /// is, give all back, and so on with each append; a step of this size by each brings them there at once.
+    /// All routers see the same undrawn amount and act on it concurrently. If each covered the full distance, they
+    /// would draw the budget empty, see that it is empty, return everything, and repeat this with each append. With
+    /// this step size, they reach their fair shares together.
     fn step(&self, distance: Tokens) -> Tokens {
         Tokens((distance.0 as f64 / (1.0 + self.hold_ratio)).ceil() as u64)
     }
 }
 
-/// Decides for a router that holds too little for the request at hand.
+/// Decides for a holding that is too small for the current request.
 ///
-/// Seven routers that each hold a part of what one request needs refuse it for ever, though the team could pay: what
-/// can't be made up here goes back, so that it can be made up elsewhere.
+/// If seven routers each hold a fraction of what one request needs, all of them refuse it forever, although the team
+/// could pay. If the missing tokens can't be drawn here, the holding is returned, so that another router can draw
+/// enough.
 fn cover_shortfall(view: &BudgetView, target: Tokens) -> HoldingAction {
     let missing = view.wanted - view.free;
     if view.undrawn >= missing {
--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -1,11 +1,11 @@
-//! Which engines keep the shared parts of prompts.
+//! Home engines of shared prompt prefixes.
 //!
-//! Answers many routers whose callers share parts of their prompts, each of which sees a small share of them. An engine
-//! reads a part once and keeps it; read at another engine as well, it costs that one's time and pushes another part out.
-//! The engines are ranked for each part by a hash of both, which all routers reckon alike, and the first is the part's
-//! home. A part that very many ask for would overload its home; it gets as many homes as its prompts need to be read.
-//! Nobody tells a router how often the others are asked for a part: callers spread over all routers alike, so it takes
-//! its own share of the requests for that of each.
+//! Many routers have callers that share prefixes of their prompts, and each router sees a small share of the requests.
+//! An engine computes a prefix once and keeps it cached; computed on another engine as well, it takes time there and
+//! evicts another prefix. For each prefix, the engines are ranked by a hash of both, which all routers compute alike,
+//! and the first one is the home of the prefix. A very popular prefix would overload its home, so that it gets as many
+//! homes as the prefill of its prompts needs. Routers do not exchange how often they are asked for a prefix: callers
+//! spread over all routers alike, so that each router takes its own share of the requests for that of each other.
 
 use std::hash::BuildHasherDefault;
 use std::time::Duration;
@@ -22,26 +22,27 @@
 use crate::ids::VmId;
 use crate::tokens::Tokens;
 
-/// The time over which requests for a part are counted: one of two hundred routers sees one in ten seconds of the twenty a
-/// second that overload a home, and ten of a part that would overload ten. Over half the time so few are seen that routers
-/// differ by twice in the number of homes, and the part is read at as many more engines.
+/// Window over which the requests for a prefix are counted. Of the twenty requests a second that overload a home, one
+/// of two hundred routers sees one in ten seconds, and ten of a prefix that would overload ten homes. With half the
+/// window the counts are so low that routers differ by a factor of two in the number of homes, and the prefix is
+/// computed on as many more engines.
 const DEMAND_WINDOW: Duration = Duration::from_secs(10);
 
-/// What part of its time a home may spend on reading the prompts of one part: beyond that, they queue behind each other for
-/// long.
+/// Maximum share of its time that a home may spend on the prefill of one prefix's prompts. Above it, they queue behind
+/// each other for long.
 const MAX_PREFILL_SHARE: f64 = 0.6;
 
-/// How many parts are counted. Most are asked for once and have one home whether they are counted or not.
+/// Number of prefixes that are tracked. Most are requested once and have one home whether they are tracked or not.
 const MAX_TRACKED: usize = 2048;
 
-/// Counts requests for shared parts, and tells how many homes each part needs.
+/// Counts requests for shared prefixes, and derives the number of homes of each.
 #[derive(Debug)]
 pub(crate) struct Homes {
     routers: usize,
     demands: IndexMap<u64, PrefixDemand, BuildHasherDefault<FastHasher>>,
 }
 
-/// How fast the prompts that share a part come to this router.
+/// Demand of the prompts that share a prefix, at this router.
 #[derive(Clone, Copy, Debug)]
 struct PrefixDemand {
     first_seen: Instant,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Returns how many tokens they have a second, apart from the part. A demand that just began is known within a second,
+    /// Returns the demand in tokens per second, without the shared prefix. New demand is recognized within a second,
     /// before its home is seconds behind.
     fn rate(&self, now: Instant) -> f64 {
         self.demand.rate(now) / observed_fraction(now, self.first_seen, DEMAND_WINDOW)
@@ -64,7 +65,7 @@
 }
 
 impl Homes {
-    /// Makes one that has counted nothing, of a router that is the only one.
+    /// Creates an empty counter, for a single router.
     pub(crate) fn new() -> Self {
         Self {
             routers: 1,
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Takes note of how many routers share the callers.
+    /// Sets the number of routers that share the callers.
     pub(crate) fn set_router_count(&mut self, routers: usize) {
         self.routers = routers.max(1);
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub(crate) fn record(&mut self, now: Instant, prompt: &Prompt) {
         let entry = self.demands.entry(prompt.shared);
         let tracked = entry.or_insert_with(|| PrefixDemand::new(now));
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Returns how many homes a prompt's shared parts have.
+    /// Returns the number of homes of a prompt's shared prefix.
     pub(crate) fn count(&self, now: Instant, prompt: &Prompt) -> usize {
         let Some(tracked) = self.demands.get(&prompt.shared) else {
             return 1;
@@ -97,7 +98,7 @@
         1 + (prefill.as_secs_f64() / MAX_PREFILL_SHARE) as usize
     }
 
-    /// Forgets the parts that were asked for least.
+    /// Evicts the prefixes with the lowest demand.
     fn evict(&mut self, now: Instant) {
         self.demands
             .sort_by(|_, a, _, b| b.rate(now).total_cmp(&a.rate(now)));
@@ -105,7 +106,7 @@
     }
 }
 
-/// Returns where an engine stands among all for a part; the highest is first.
+/// Returns the rank of an engine for a prefix; the highest is first.
 pub(crate) fn rank(vm: &VmId, shared: u64) -> u64 {
     xxh3_64_with_seed(vm.as_str().as_bytes(), shared)
 }
--- a/src/decide/owners.rs
+++ b/src/decide/owners.rs
@@ -1,11 +1,11 @@
-//! Which routers keep a team's budget in a large fleet.
+//! Routers that keep a team's budget in a large fleet.
 //!
-//! Answers many routers and many teams: with two hundred of one and forty of the other, each router is asked for a team's
-//! budget once in ten seconds, and what it draws for that from the one log partition is a single request's worth. All
-//! routers then write on the condition that no other did, nearly all fail, and callers wait for budget that lies unused in
-//! thousands of small pieces. Here a few routers, drawn by their size, keep all budgets, three of them each team's; the
-//! others borrow from them by the request, which takes a millisecond or two. All routers reckon the same owners from the
-//! list of VMs, without a word between them, and one that is added or lost moves few teams.
+//! With two hundred routers and forty teams, each router is asked for a team's budget once in ten seconds, and what it
+//! draws for that from the one log partition suffices for a single request. All routers then write on the condition
+//! that no other did, nearly all of these writes fail, and callers wait for budget that lies unused in thousands of
+//! small pieces. Here a few routers, selected at random by their size, keep all budgets, three of them for each team;
+//! the others borrow from them for each request, which takes a millisecond or two. All routers compute the same owners
+//! from the list of VMs without communicating, and adding or removing a router moves few teams.
 
 use std::cmp::Reverse;
 
@@ -18,11 +18,11 @@
 use crate::ids::TeamId;
 use crate::ids::VmId;
 
-/// Up to how many routers a fleet lets all of them keep all budgets, and how many keep them in a larger one: some thirty
-/// writes a second is what one partition takes on the condition of its end, and each owner writes twice a second.
+/// Largest fleet in which all routers keep all budgets, and number of owners in a larger one: one partition accepts
+/// some thirty conditional writes per second, and each owner writes twice a second.
 pub(crate) const FLEET_OWNERS: usize = 16;
 
-/// How many owners a team has: while one restarts and another is cut off, the third lends.
+/// Number of owners of a team: while one restarts and another is disconnected, the third lends.
 pub(crate) const TEAM_OWNERS: usize = 3;
 
 /// A router that may keep budgets.
@@ -30,9 +30,9 @@
 pub struct Candidate {
     /// Its VM.
     pub vm: VmId,
-    /// The failure domain of that.
+    /// Failure domain of the VM.
     pub domain: DomainId,
-    /// What the VM can carry.
+    /// Capacity of the VM.
     pub capacity: Capacity,
 }
 
@@ -41,7 +41,8 @@
 pub struct Owners(Vec<Candidate>);
 
 impl Owners {
-    /// Draws them from all routers, each the more likely the larger it is; none where the fleet is so small that all keep.
+    /// Selects the owners from all routers, with a probability that grows with their size. Empty if the fleet is so
+    /// small that all routers keep all budgets.
     pub fn select(mut routers: Vec<Candidate>) -> Self {
         if routers.len() <= FLEET_OWNERS {
             return Self::default();
@@ -49,8 +50,9 @@
         let max_capacity = Capacity::most(routers.iter().map(|router| router.capacity));
         routers.sort_by_cached_key(|router| {
             let uniform = unit_fraction(xxh3_64(router.vm.as_str().as_bytes()));
-            // The largest of such numbers is each one's as often as its weight says. Lending comes on top of what callers
-            // ask of a VM by its size, so that a VM of half the size is an owner a quarter as often.
+            // Weighted sampling: the probability that a router has the largest key is proportional to its weight.
+            // Lending adds to the load of the callers, which a VM has by its size, so that a VM of half the size is an
+            // owner a quarter as often.
             let weight = router.capacity.part(max_capacity).powi(2);
             let key = weight.max(f64::MIN_POSITIVE) / -uniform.ln();
             (Reverse(key.to_bits()), router.vm.clone())
@@ -59,7 +61,7 @@
         Self(routers)
     }
 
-    /// Returns a team's owners, in different failure domains as far as possible; none where all routers keep.
+    /// Returns a team's owners, in different failure domains as far as possible. Empty if all routers keep all budgets.
     pub fn for_team(&self, team: &TeamId) -> Vec<&VmId> {
         let seed = xxh3_64(team.as_str().as_bytes());
         let rank = |owner: &Candidate| xxh3_64_with_seed(owner.vm.as_str().as_bytes(), seed);
@@ -79,7 +81,7 @@
     }
 }
 
-/// Returns a number between 0 and 1, neither of them.
+/// Returns a number between 0 and 1, both excluded.
 fn unit_fraction(hash: u64) -> f64 {
     ((hash >> 12) as f64 + 0.5) / (1u64 << 52) as f64
 }
--- a/src/decide/prefill.rs
+++ b/src/decide/prefill.rs
@@ -1,66 +1,66 @@
-//! How long an engine will take until a prompt's first token.
+//! Estimates when an engine returns a prompt's first token.
 //!
-//! Answers long prompts among short ones: an engine reads prompts one after another, and one of fifty thousand tokens keeps
-//! those behind it waiting for more than half a second. By the number of requests in progress such an engine looks as good
-//! as any other, so that short prompts, which are nine in ten, are late behind it. Here each dispatched prompt moves on the
-//! time at which the engine will be through with what it was sent, and a prompt goes where its first token is expected
-//! first. Parts of prompts that an engine has read already cost nothing there; that pulls requests that share a part
-//! together, and a loaded engine pushes them apart.
+//! Long prompts delay short ones: an engine processes prompts one after another, and a prompt of fifty thousand tokens
+//! blocks those behind it for more than half a second. By the number of requests in progress such an engine looks no
+//! busier than any other, so that short prompts, which are nine in ten, are delayed behind it. Here each dispatched
+//! prompt advances the time at which the engine is expected to finish its backlog, and a prompt goes to the engine with
+//! the earliest expected first token. Shared prefixes that an engine has cached cost nothing there. This groups
+//! requests with a common prefix on one engine, until the load there moves them to others.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use indexmap::IndexMap;
 
-/// What an engine takes for a token of a prompt, in nanoseconds, before it is known better: 85 to 100 tokens a millisecond
-/// are what the engines of two deployments read.
+/// Prefill time of a prompt token, in nanoseconds, until an engine's own speed is known. Engines of two deployments
+/// process 85 to 100 tokens per millisecond.
 const TOKEN_NANOS: f64 = 11_000.0;
 
-/// How many parts are remembered as read by one engine: its memory of some 600,000 tokens holds no more of a few hundred
-/// tokens or more.
+/// Prefixes remembered as cached by one engine: its cache of some 600,000 tokens holds no more of a few hundred tokens
+/// or longer.
 const MAX_PREFIXES: usize = 1024;
 
-/// How long a part is thought to stay in an engine's memory after its last use.
+/// How long a prefix is assumed to stay in an engine's cache after its last use.
 const CACHE_TTL: Duration = Duration::from_secs(60);
 
-/// How much of a difference between expectation and outcome moves the engine's own time: others' prompts, of which nobody
-/// told, delay the next one as they delayed this one, but for what is read meanwhile.
+/// Fraction of a first token's lateness that is added to the engine's backlog. Unannounced prompts of other routers
+/// delay the next prompt as they delayed this one, except for what is processed in the meantime.
 const LATENESS_WEIGHT: f64 = 0.5;
 
-/// The weight of the newest outcome in what is thought of an engine's speed.
+/// Weight of the newest measurement in the estimate of an engine's speed.
 const SPEED_WEIGHT: f64 = 0.1;
 
-/// How many tokens must have been read for an outcome to tell of an engine's speed.
+/// Minimum number of uncached tokens for a first token to be used as a measurement of speed.
 const MIN_SAMPLE_TOKENS: u64 = 1000;
 
-/// How much slower or faster than usual an engine is thought to be at most.
+/// Bounds of an engine's estimated slowness, relative to the default speed.
 const MAX_SLOWNESS: f64 = 4.0;
 const MIN_SLOWNESS: f64 = 0.7;
 
-/// A prompt, as far as it matters here.
+/// Size of a prompt and identity of its shared prefix.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Names all the parts of it that other requests share.
+    /// Hash of the parts that form the prefix shared with other requests.
     pub shared: u64,
-    /// How many tokens these have.
+    /// Number of tokens in the shared prefix.
     pub shared_tokens: u64,
-    /// How many tokens the rest has.
+    /// Number of tokens after the shared prefix.
     pub own_tokens: u64,
 }
 
-/// What one engine has to read, and has read.
+/// Prefill backlog and cached prefixes of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Prefill {
-    /// When it will be through with all that it was sent.
+    /// When the engine is expected to finish its backlog.
     busy_until: Option<Instant>,
-    /// How long it takes, against the usual.
+    /// Prefill time relative to the default speed.
     slowness: Option<f64>,
     cached: IndexMap<u64, Instant>,
 }
 
 impl Prefill {
-    /// Returns how many tokens of a prompt are still to be read there; `home` tells that the shared parts are thought to be
-    /// there even if nobody told.
+    /// Returns how many tokens of a prompt are not cached; `home` marks a home of the shared prefix, where the prefix
+    /// is assumed to be cached even if nobody reported it.
     pub fn uncached_tokens(&self, now: Instant, prompt: &Prompt, home: bool) -> u64 {
         let read = self.cached.get(&prompt.shared);
         match home || read.is_some_and(|at| now < *at + CACHE_TTL) {
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Returns how long it takes for so many tokens.
+    /// Returns the prefill time of `tokens` tokens.
     pub fn time(&self, tokens: u64) -> Duration {
         Duration::from_nanos((tokens as f64 * TOKEN_NANOS * self.slowness()) as u64)
     }
 
-    /// Returns how long it is busy with what it was sent.
+    /// Returns the time until the engine finishes its backlog.
     pub fn wait(&self, now: Instant) -> Duration {
         self.busy_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Counts a prompt that was sent, and returns when its first token is expected.
+    /// Records a prompt with `tokens` uncached tokens that was sent, and returns when its first token is expected.
     pub fn record_sent(&mut self, now: Instant, shared: u64, tokens: u64) -> Instant {
         let until = self.busy_until.map_or(now, |until| until.max(now)) + self.time(tokens);
         self.busy_until = Some(until);
@@ -92,7 +92,8 @@
         until
     }
 
-    /// Learns from a first token that came now, of a prompt of so many unread tokens that was sent then.
+    /// Updates the estimates from a first token that arrived at `now`, of a prompt with `tokens` uncached tokens sent
+    /// at `sent`.
     pub fn record_first_token(
         &mut self,
         now: Instant,
--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -1,10 +1,10 @@
-//! Which endpoint has which prompt prefix cached.
+//! Index of the prompt prefixes that endpoints have cached.
 //!
-//! Answers conversations and shared instructions, whose prompts begin alike: an endpoint that has the prefix cached
-//! starts answering without computing it again. Without it each endpoint computes every prefix, and each cache holds
-//! what all the others hold. What is known is a guess: events come late and with gaps, and caches evict in between. So
-//! each entry bears the number of gaps that its endpoint's events had when it was learnt, counts half for each gap
-//! since, and goes when an answer shows that less was cached than it said.
+//! Conversations and shared instructions lead to prompts with common prefixes: an endpoint that has the prefix cached
+//! starts answering without computing it again. Without the index, each endpoint computes every prefix, and all caches
+//! hold the same content. The index is an estimate: events arrive late and with gaps, and caches evict blocks in
+//! between. Each entry therefore stores how many gaps its endpoint's events had when it was recorded; its confidence
+//! decreases with each gap since, and with each answer in a row that had less cached than expected.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -16,46 +16,46 @@
 use crate::ids::VmId;
 use crate::prompt::BlockHash;
 
-/// How many blocks are remembered. At 116 bytes each (`cargo bench`) they take 47 of the 256 MB that a node may spend for
-/// control; with 16 tokens a block they are 1,300 prompts of 4,800 tokens.
+/// Maximum number of blocks in the index. At 116 bytes each (`cargo bench`) they take 47 of the 256 MB that a node may
+/// use for control; with 16 tokens a block they cover 1,300 prompts of 4,800 tokens.
 const MAX_BLOCKS: usize = 400_000;
 
-/// How many endpoints are remembered for one block: more replicas than that need not be told apart.
+/// Endpoints remembered for one block: more replicas than that need not be told apart.
 const MAX_HOLDERS: usize = 8;
 
-/// What an entry counts for each gap in its endpoint's events since it was learnt. A gap hides evictions as often as
-/// stores.
+/// Factor on an entry's confidence for each gap in its endpoint's events since it was recorded. A gap hides evictions
+/// as often as insertions.
 const GAP_CONFIDENCE: f64 = 0.8;
 
-/// After so many gaps an entry is worth next to nothing.
+/// Number of gaps after which an entry is ignored, its confidence being negligible.
 const MAX_GAPS: u32 = 10;
 
-/// How many shorter matches are looked at, each half as long as the one before.
+/// Number of shorter matches considered, each half as long as the one before.
 const MAX_HALVINGS: u32 = 4;
 
-/// What an endpoint says that changed in its cache.
+/// Change in an endpoint's cache, as reported by the endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Its number among the endpoint's events, counted from 1 at each start of the endpoint.
+    /// Sequence number of the event, counted from 1 at each start of the endpoint.
     pub sequence: u64,
-    /// What it has cached since.
+    /// Blocks cached since the previous event.
     pub stored: Vec<BlockHash>,
-    /// What it has evicted since.
+    /// Blocks evicted since the previous event.
     pub removed: Vec<BlockHash>,
 }
 
-/// What an endpoint is thought to have of a prompt.
+/// Estimate of what an endpoint has cached of a prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Match {
     /// The endpoint.
     pub endpoint: VmId,
-    /// How many leading blocks.
+    /// Number of leading blocks.
     pub blocks: usize,
-    /// How far that is believed, from 0 to 1.
+    /// Confidence in the estimate, from 0 to 1.
     pub confidence: f64,
 }
 
-/// One endpoint, as one life of its cache knows it: a restart makes another number.
+/// One lifetime of an endpoint's cache: a restart gets a new number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct CacheId(u32);
 
@@ -70,18 +70,18 @@
     vm: VmId,
     sequence: u64,
     gaps: u32,
-    /// Answers in a row that had less cached than was thought.
+    /// Answers in a row that had less cached than expected.
     overestimates: u32,
 }
 
 #[derive(Debug, Default)]
 struct Entry {
     holders: Vec<Holder>,
-    /// Whether it was learnt again or matched since eviction last came by.
+    /// Whether the block was recorded again since the eviction scan last passed it.
     referenced: bool,
 }
 
-/// Blocks and the endpoints that are thought to have them cached.
+/// Blocks and the endpoints that are assumed to have them cached.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     blocks: IndexMap<BlockHash, Entry, BuildHasherDefault<FastHasher>>,
@@ -92,31 +92,31 @@
 }
 
 impl PrefixIndex {
-    /// Makes an index that knows nothing.
+    /// Creates an empty index.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how many blocks are remembered.
+    /// Returns the number of blocks in the index.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Returns whether no block is remembered.
+    /// Returns whether the index has no blocks.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Notes that an endpoint was just given a prompt, which it will have cached.
+    /// Records that an endpoint was just given a prompt, which it will have cached.
     pub fn record_cached(&mut self, endpoint: &VmId, prompt: &[BlockHash]) {
         let holder = self.current_holder(endpoint);
-        // From the last, so that memory runs out of the ends of prompts before their beginnings.
+        // In reverse, so that eviction removes the ends of prompts before their beginnings.
         for block in prompt.iter().rev() {
             self.insert_block(holder, *block);
         }
     }
 
-    /// Notes that an endpoint has these blocks no longer.
+    /// Records that an endpoint no longer has these blocks.
     pub fn record_evicted(&mut self, endpoint: &VmId, blocks: &[BlockHash]) {
         let Some(cache_id) = self.cache_ids.get(endpoint).copied() else {
             return;
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Takes in an endpoint's event.
+    /// Applies an event of an endpoint.
     pub fn apply_event(&mut self, endpoint: &VmId, event: &CacheEvent) {
         if event.sequence <= 1 {
-            // The endpoint started anew, with nothing cached.
+            // The endpoint restarted with an empty cache.
             self.remove(endpoint);
         }
         let cache_id = self.current_holder(endpoint).cache_id;
@@ -144,16 +144,16 @@
         let is_stale = event.sequence <= cache.sequence;
         cache.sequence = cache.sequence.max(event.sequence);
         self.record_evicted(endpoint, &event.removed);
-        // What a late one says was stored may have been evicted by one that came before it.
+        // Blocks stored according to a late event may have been evicted by an event that arrived before it.
         if !is_stale {
             self.record_cached(endpoint, &event.stored);
         }
     }
 
-    /// Takes in how many leading blocks of a prompt an endpoint had cached when it ran it.
+    /// Records how many leading blocks of a prompt an endpoint had cached when it ran it.
     ///
-    /// Fewer than thought means that it evicted them unseen. What it ran it has cached again, but an endpoint that has
-    /// less than thought time after time caches less than others, or nothing.
+    /// Fewer than expected means that it evicted blocks without an event. Having run the prompt, it has them cached
+    /// again, but an endpoint that repeatedly has less than expected caches less than others, or nothing.
     pub fn record_served(
         &mut self,
         endpoint: &VmId,
@@ -171,18 +171,18 @@
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, endpoint: &VmId) {
         if let Some(cache_id) = self.cache_ids.swap_remove(endpoint) {
             self.caches.swap_remove(&cache_id);
         }
     }
 
-    /// Returns what endpoints have of a prompt.
+    /// Returns an estimate of what each endpoint has cached of a prompt.
     ///
-    /// It looks at about as many blocks as the logarithm of the prompt's length: whoever has a block has most likely all
-    /// before it, as caches evict ends first. An endpoint that has less than the longest match is credited with the next
-    /// half, quarter and so on of it.
+    /// The number of blocks examined is about the logarithm of the prompt's length: an endpoint that has a block most
+    /// likely has all blocks before it, as caches evict from the end. An endpoint that has less than the longest match
+    /// is credited with the next half, quarter and so on of it.
     pub fn matches(&self, prompt: &[BlockHash]) -> Vec<Match> {
         let mut found: Vec<Match> = Vec::new();
         let longest = prompt.partition_point(|block| self.is_held(block));
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Evicts the oldest blocks that were not used since it last came by.
+    /// Evicts the oldest blocks that were not recorded again since the last scan (second-chance algorithm).
     fn evict(&mut self) {
         while self.blocks.len() > MAX_BLOCKS {
             let Some(oldest) = self.eviction_queue.pop_front() else {
--- a/src/decide/round_trips.rs
+++ b/src/decide/round_trips.rs
@@ -1,39 +1,40 @@
-//! How late all is that a router's VM sends and takes in.
+//! Round-trip times between a router's VM and its peers.
 //!
-//! Answers a client account whose callers all keep to one small VM, whatever addresses they are told. The VM's link and
-//! processor fill, and a question to a peer takes hundreds of milliseconds there. Without a measure of it the router gives
-//! each question up too early, asks anew, and spends a good part of its link on what is not worth it then.
+//! If all callers of a client account use one small VM, whatever addresses they are advised to use, the VM's link and
+//! processor are saturated, and a request to a peer takes hundreds of milliseconds there. Without this measurement, the
+//! router gives up each request too early, sends another, and spends a good part of its link on traffic that is not
+//! worth it under such load.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// A VM whose peers take longer to answer is late: most objectives are some hundred milliseconds.
+/// Round-trip time above which a VM is late: most latency objectives are some hundred milliseconds.
 const LATE_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// How many of the shortest round trips an answer may take.
+/// Timeout of an answer, in multiples of the shortest round trip.
 const TIMEOUT_ROUND_TRIPS: u32 = 3;
 
-/// How long an answer is waited for at most, unless it usually takes longer.
+/// Maximum timeout of an answer, unless its usual timeout is longer.
 const MAX_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How often the measure changes.
+/// Interval at which the measurement is updated.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How many round trips it takes at least: one may be long for its peer's sake.
+/// Minimum number of round trips for an update: a single one may be long because of the peer.
 const MIN_SAMPLES: u32 = 3;
 
 /// The round trips between a router and its peers.
 #[derive(Debug, Default)]
 pub struct RoundTrips {
     shortest: Duration,
-    /// The shortest since the last step, and how many there were.
+    /// Shortest round trip since the last update, and how many there were.
     pending: Option<Duration>,
     samples: u32,
     updated: Option<Instant>,
 }
 
 impl RoundTrips {
-    /// Takes in how long a peer took to answer.
+    /// Records how long a peer took to answer.
     pub fn sample(&mut self, now: Instant, round_trip: Duration) {
         let pending = self
             .pending
@@ -49,17 +50,17 @@
         }
     }
 
-    /// Returns the shortest round trip of late, zero before any was measured.
+    /// Returns the shortest recent round trip; zero before any was measured.
     pub fn shortest(&self) -> Duration {
         self.shortest
     }
 
-    /// Returns how long an answer may take that comes within a usual time elsewhere.
+    /// Returns the timeout of an answer whose usual timeout is `usual`.
     pub fn timeout(&self, usual: Duration) -> Duration {
         (self.shortest * TIMEOUT_ROUND_TRIPS).clamp(usual, MAX_TIMEOUT.max(usual))
     }
 
-    /// Returns whether all that the VM does is late.
+    /// Returns whether all traffic of the VM is late.
     pub fn is_late(&self) -> bool {
         self.shortest > LATE_THRESHOLD
     }
