--- a/src/decide/advice.rs
+++ b/src/decide/advice.rs
@@ -97,10 +97,10 @@
     R: Rng,
 {
     let total: f64 = candidates.iter().map(|(weight, _)| weight).sum();
-    let mut at = rng.random_range(0.0..1.0) * total;
+    let mut remaining = rng.random_range(0.0..1.0) * total;
     let drawn = candidates.iter().position(|(weight, _)| {
-        at -= weight;
-        at < 0.0
+        remaining -= weight;
+        remaining < 0.0
     });
     let last = candidates.len().checked_sub(1)?;
     Some(candidates.swap_remove(drawn.unwrap_or(last)).1)
--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -13,8 +13,8 @@
 /// Measures how fast the queue drains while requests wait in it.
 #[derive(Debug, Default)]
 pub(super) struct DrainRate {
-    cost: f64,
-    time: f64,
+    served_cost: f64,
+    measured_secs: f64,
     since: Option<Instant>,
 }
 
@@ -30,7 +30,7 @@
 
     pub(super) fn record(&mut self, now: Instant, cost: Tokens, empty: bool) {
         self.advance(now);
-        self.cost += cost.0.max(1) as f64;
+        self.served_cost += cost.0.max(1) as f64;
         if empty {
             self.since = None;
         }
@@ -40,8 +40,8 @@
         let Some(since) = self.since else { return };
         let elapsed = now.saturating_duration_since(since).as_secs_f64();
         let decay = (-elapsed / WINDOW_SECS).exp();
-        self.cost *= decay;
-        self.time = self.time * decay + elapsed;
+        self.served_cost *= decay;
+        self.measured_secs = self.measured_secs * decay + elapsed;
         self.since = Some(now);
     }
 
@@ -50,7 +50,7 @@
         let idle = self
             .since
             .map_or(0.0, |s| now.saturating_duration_since(s).as_secs_f64());
-        let time = self.time + idle;
-        (self.cost > 0.0 && time > MIN_MEASURED_SECS).then(|| self.cost / time)
+        let secs = self.measured_secs + idle;
+        (self.served_cost > 0.0 && secs > MIN_MEASURED_SECS).then(|| self.served_cost / secs)
     }
 }
--- a/src/decide/opening.rs
+++ b/src/decide/opening.rs
@@ -36,10 +36,10 @@
 }
 
 /// Returns the limit for `held` tokens that are not in use, with a demand in tokens per second, where an outage may
-/// last for `cut`.
-pub fn release_limit(demand: f64, held: Tokens, cut: Duration) -> ReleaseLimit {
+/// last for `outage`.
+pub fn release_limit(demand: f64, held: Tokens, outage: Duration) -> ReleaseLimit {
     let held = held.0 as f64;
-    let even_rate = held / cut.as_secs_f64();
+    let even_rate = held / outage.as_secs_f64();
     let rate = (demand * MAX_RATE_FACTOR).min(even_rate);
     let rate = rate.max(held / FULL_RELEASE.as_secs_f64());
     ReleaseLimit {
