--- a/src/decide/prefill.rs
+++ b/src/decide/prefill.rs
@@ -16,8 +16,8 @@
 /// process 85 to 100 tokens per millisecond.
 const TOKEN_NANOS: f64 = 11_000.0;
 
-/// Prefixes remembered as cached by one engine: its cache of some 600,000 tokens holds no more of a few hundred tokens
-/// or longer.
+/// Prefixes remembered as cached by one engine: its cache of some 600,000 tokens holds no more prefixes of a
+/// few hundred tokens or longer.
 const MAX_PREFIXES: usize = 1024;
 
 /// How long a prefix is assumed to stay in an engine's cache after its last use.
--- a/src/decide/round_trips.rs
+++ b/src/decide/round_trips.rs
@@ -2,8 +2,8 @@
 //!
 //! If all callers of a client account use one small VM, whatever addresses they are advised to use, the VM's link and
 //! processor are saturated, and a request to a peer takes hundreds of milliseconds there. Without this measurement, the
-//! router gives up each request too early, sends another, and spends a good part of its link on traffic that is not
-//! worth it under such load.
+//! router gives up each request too early, sends another, and spends a good part of its link on traffic that is
+//! useless under such load.
 
 use std::time::Duration;
 use std::time::Instant;
