--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -11,6 +11,7 @@
 
 use jasmineridge::BlockHash;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::DomainId;
 use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
@@ -25,7 +26,6 @@
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use jasmineridge::advise;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -108,7 +108,7 @@
             let evidence = Observation::Answered(time);
             fleet.ejector.record(now, vm, evidence, &mut fleet.rng);
         }
-        fleet.index.learn(vm, &prompt(n as u64 % 1300));
+        fleet.index.record_cached(vm, &prompt(n as u64 % 1300));
     }
     fleet
 }
@@ -126,7 +126,7 @@
     let prompts: Vec<_> = (0..1300).map(prompt).collect();
     let mut choose = |what: &str, model: Option<usize>, known: bool| {
         measure(what, |n| {
-            let wish = Wish {
+            let wish = Criteria {
                 model: model.map(|_| &models[n as usize % MODELS]),
                 prefix: if known {
                     &prompts[n as usize % 1300]
@@ -156,7 +156,7 @@
     });
     measure("learn a prompt of 300 blocks", |n| {
         let vm = &fleet.vms[n as usize % ENDPOINTS];
-        fleet.index.learn(vm, &prompts[n as usize % 1300]);
+        fleet.index.record_cached(vm, &prompts[n as usize % 1300]);
     });
     measure("record an answer of an endpoint", |n| {
         let vm = &fleet.vms[n as usize % ENDPOINTS];
@@ -264,7 +264,7 @@
     weigh("400,000 blocks with one holder", 400_000, || {
         let mut index = PrefixIndex::new();
         for (session, vm) in vms.iter().take(1334).enumerate() {
-            index.learn(vm, &prompt(session as u64));
+            index.record_cached(vm, &prompt(session as u64));
         }
         index
     });
--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -1,56 +1,56 @@
-//! How fast a queue drains.
+//! Drain rate of a queue.
 
 use std::time::Instant;
 
 use crate::tokens::Tokens;
 
-/// The time over which the drain rate is averaged: several answers, so that one long one does not swing it.
-const DRAIN_WINDOW: f64 = 5.0;
+/// Window over which the drain rate is averaged: several answers, so that a single long one does not distort it.
+const WINDOW_SECS: f64 = 5.0;
 
-/// The time that must have been measured before the rate is believed.
-const MIN_MEASURE: f64 = 0.25;
+/// Minimum measured time before the rate is reported.
+const MIN_MEASURED_SECS: f64 = 0.25;
 
-/// Measures how fast the queue drains while something waits in it.
+/// Measures how fast the queue drains while requests wait in it.
 #[derive(Debug, Default)]
-pub(super) struct Drain {
-    cost: f64,
-    time: f64,
+pub(super) struct DrainRate {
+    served_cost: f64,
+    measured_secs: f64,
     since: Option<Instant>,
 }
 
-impl Drain {
+impl DrainRate {
     pub(super) fn start(&mut self, now: Instant) {
         self.since = Some(now);
     }
 
     pub(super) fn stop(&mut self, now: Instant) {
-        self.pass(now);
+        self.advance(now);
         self.since = None;
     }
 
-    pub(super) fn served(&mut self, now: Instant, cost: Tokens, empty: bool) {
-        self.pass(now);
-        self.cost += cost.0.max(1) as f64;
+    pub(super) fn record(&mut self, now: Instant, cost: Tokens, empty: bool) {
+        self.advance(now);
+        self.served_cost += cost.0.max(1) as f64;
         if empty {
             self.since = None;
         }
     }
 
-    fn pass(&mut self, now: Instant) {
+    fn advance(&mut self, now: Instant) {
         let Some(since) = self.since else { return };
-        let passed = now.saturating_duration_since(since).as_secs_f64();
-        let kept = (-passed / DRAIN_WINDOW).exp();
-        self.cost *= kept;
-        self.time = self.time * kept + passed;
+        let elapsed = now.saturating_duration_since(since).as_secs_f64();
+        let decay = (-elapsed / WINDOW_SECS).exp();
+        self.served_cost *= decay;
+        self.measured_secs = self.measured_secs * decay + elapsed;
         self.since = Some(now);
     }
 
-    /// Returns the cost served a second. The time since the last one counts, so that a stall shows.
+    /// Returns the cost served per second. The time since the last request counts, so that a stall lowers the rate.
     pub(super) fn rate(&self, now: Instant) -> Option<f64> {
         let idle = self
             .since
             .map_or(0.0, |s| now.saturating_duration_since(s).as_secs_f64());
-        let time = self.time + idle;
-        (self.cost > 0.0 && time > MIN_MEASURE).then(|| self.cost / time)
+        let secs = self.measured_secs + idle;
+        (self.served_cost > 0.0 && secs > MIN_MEASURED_SECS).then(|| self.served_cost / secs)
     }
 }
--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::decide::choose::Criteria;
 use crate::decide::choose::Load;
-use crate::decide::choose::Wish;
 use crate::decide::cold::ColdLimit;
 use crate::decide::concurrency::EndpointLimit;
 use crate::decide::health::Health;
@@ -115,14 +115,14 @@
         home: bool,
     ) -> Duration {
         let prefill = &self.prefill;
-        let unread = prefill.unread(now, prompt, home);
-        let recomputed = prefill.time(unread - prompt.own).mul_f64(RECOMPUTE_FACTOR);
+        let unread = prefill.uncached_tokens(now, prompt, home);
+        let recomputed = prefill.time(unread - prompt.own_tokens).mul_f64(RECOMPUTE_FACTOR);
         let running = RUNNING_DELAY * self.own_limit.active();
         let remote = match self.domain == *domain {
             true => Duration::ZERO,
             false => REMOTE_DELAY,
         };
-        prefill.wait(now) + prefill.time(prompt.own) + recomputed + running + remote
+        prefill.wait(now) + prefill.time(prompt.own_tokens) + recomputed + running + remote
     }
 
     pub(super) fn load(&self, now: Instant) -> f64 {
@@ -162,12 +162,12 @@
     pub(super) fn score(
         &self,
         now: Instant,
-        wish: &Wish<'_>,
+        wish: &Criteria<'_>,
         found: Option<&Match>,
         slowness: f64,
     ) -> f64 {
         let load = (self.load(now) + 1.0) / f64::from(self.limit.max(1));
-        let cached = found.map_or(0.0, |m| m.blocks as f64 * m.trust);
+        let cached = found.map_or(0.0, |m| m.blocks as f64 * m.confidence);
         let missing = (wish.prefix.len() as f64 - cached) / FULL_LOAD_BLOCKS;
         let remote = if self.domain == *wish.domain {
             0.0
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -19,7 +19,7 @@
 use rand_chacha::ChaCha8Rng;
 use thiserror::Error;
 
-use crate::decide::drain::Drain;
+use crate::decide::drain::DrainRate;
 use crate::decide::recent::RecentUsage;
 use crate::decide::recent::Usage;
 use crate::ids::AccountId;
@@ -147,7 +147,7 @@
     /// The virtual time of the request served last.
     vtime: f64,
     last_sweep: Option<Instant>,
-    drain: Drain,
+    drain: DrainRate,
     deferred: DeferredWork,
     next_id: u64,
     rng: ChaCha8Rng,
@@ -166,7 +166,7 @@
             recent: RecentUsage::default(),
             vtime: 0.0,
             last_sweep: None,
-            drain: Drain::default(),
+            drain: DrainRate::default(),
             deferred: DeferredWork::default(),
             next_id: 0,
             rng,
@@ -242,7 +242,7 @@
         self.charge(now, &waiting.ticket);
         self.sweep(now);
         self.drain
-            .served(now, waiting.ticket.cost, self.waiting.is_empty());
+            .record(now, waiting.ticket.cost, self.waiting.is_empty());
         Some(waiting.item)
     }
 
--- a/src/router/grant_budget.rs
+++ b/src/router/grant_budget.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::decide;
-use crate::decide::Borrowers;
+use crate::decide::BorrowerDemand;
 use crate::decide::Demand;
-use crate::decide::Ration;
+use crate::decide::PriorityDemand;
+use crate::decide;
 use crate::ids::RequestId;
 use crate::router::event::AdminId;
 use crate::router::event::LoanAsk;
@@ -64,14 +64,14 @@
     pub(crate) spent: Tokens,
     pub(crate) waiting: VecDeque<Waiting>,
     /// The demand by priority, of callers here and at routers that borrow.
-    pub(crate) ration: Ration,
+    pub(crate) ration: PriorityDemand,
     /// The demand of callers here.
     own_demand: Demand,
     /// What is reserved and lent, whoever asked.
     outflow: Demand,
     /// The total that callers here have asked for so far.
     pub(crate) asked: Tokens,
-    borrowers: Borrowers,
+    borrowers: BorrowerDemand,
     /// The part of reservations that is used, and the mean reservation, as moving averages.
     pub(crate) used_ratio: f64,
     pub(crate) mean_reservation: f64,
@@ -88,11 +88,11 @@
             reserved: Tokens::ZERO,
             spent: Tokens::ZERO,
             waiting: VecDeque::new(),
-            ration: Ration::new(DEMAND_WINDOW),
+            ration: PriorityDemand::new(DEMAND_WINDOW),
             own_demand: Demand::new(now, DEMAND_WINDOW),
             outflow: Demand::new(now, DEMAND_WINDOW),
             asked: Tokens::ZERO,
-            borrowers: Borrowers::default(),
+            borrowers: BorrowerDemand::default(),
             used_ratio: INITIAL_USED_RATIO,
             mean_reservation: 1.0,
             first_used: None,
@@ -111,7 +111,7 @@
     /// the log in the first seconds would find grants that are far too small.
     fn scale_to_window(&self, now: Instant, rate: f64) -> f64 {
         let first = self.first_used.unwrap_or(now);
-        rate / decide::seen(now, first, DEMAND_WINDOW)
+        rate / decide::observed_fraction(now, first, DEMAND_WINDOW)
     }
 
     /// Returns how fast the budget is given to those that ask for it, in tokens a second. For a budget that runs low,
@@ -136,7 +136,7 @@
     pub(crate) fn record_demand(&mut self, now: Instant, priority: u8, amount: Tokens) {
         self.first_used.get_or_insert(now);
         let used = Tokens((amount.0 as f64 * self.used_ratio) as u64);
-        self.ration.expect(now, priority, used);
+        self.ration.record(now, priority, used);
         self.own_demand.add(now, used);
         self.asked = self.asked.saturating_add(used);
     }
@@ -145,9 +145,9 @@
     /// each of the `owners` counts an equal part of it.
     pub(crate) fn record_loan_demand(&mut self, now: Instant, ask: &LoanAsk, owners: u64) {
         self.first_used.get_or_insert(now);
-        let new = self.borrowers.ask(ask.borrower, ask.asked, ask.amount);
+        let new = self.borrowers.record(ask.borrower, ask.asked, ask.amount);
         let part = Tokens(new.0 / owners.max(1));
-        self.ration.expect(now, ask.priority, part);
+        self.ration.record(now, ask.priority, part);
     }
 
     /// Adds a loan request to a waiting one of the same number; returns whether there is one.
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -10,9 +10,9 @@
 
 use crate::config::RouteTable;
 use crate::decide::Candidate;
+use crate::decide::ConsistencyMode;
 use crate::decide::HoldingPolicy;
-use crate::decide::Lean;
-use crate::decide::Ration;
+use crate::decide::PriorityDemand;
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
 use crate::escrow::GrantState;
@@ -112,13 +112,13 @@
         now: Instant,
         vm: VmId,
         me: Incarnation,
-        lean: Lean,
+        lean: ConsistencyMode,
         clock: BootClock,
     ) -> Self {
         Self {
             book: GrantState::new(vm, me),
             budgets: IndexMap::new(),
-            policy: HoldingPolicy::covering(DEMAND_COVER, holding_ratio(lean)),
+            policy: HoldingPolicy::with_cover(DEMAND_COVER, holding_ratio(lean)),
             in_flight: false,
             behind: false,
             failures: 0,
@@ -194,7 +194,7 @@
             return ReserveOutcome::Done;
         }
         budget.record_demand(now, priority, amount);
-        if !budget.ration.pays(now, &remainder, priority, amount) {
+        if !budget.ration.admits(now, &remainder, priority, amount) {
             return ReserveOutcome::Kept;
         }
         if available < amount {
@@ -447,16 +447,18 @@
 /// Returns what must stay available for requests that are more urgent than a priority. In contact with the log, the
 /// next spending pace makes more available; in an outage, budget becomes available slowly, and less urgent requests
 /// would use up every bit of it.
-pub(super) fn urgent_reserve(away: bool, now: Instant, ration: &Ration, priority: u8) -> Tokens {
+pub(super) fn urgent_reserve(away: bool, now: Instant, ration: &PriorityDemand, priority: u8) -> Tokens {
     match away {
-        true => Tokens((ration.urgent(now, priority) * URGENT_RESERVE_TIME.as_secs_f64()) as u64),
+        true => {
+            Tokens((ration.higher_priority_rate(now, priority) * URGENT_RESERVE_TIME.as_secs_f64()) as u64)
+        }
         false => Tokens::ZERO,
     }
 }
 
-fn holding_ratio(lean: Lean) -> f64 {
+fn holding_ratio(lean: ConsistencyMode) -> f64 {
     match lean {
-        Lean::Strict => HOLDING_RATIO,
-        Lean::Available => AVAILABLE_HOLDING_RATIO,
+        ConsistencyMode::Strict => HOLDING_RATIO,
+        ConsistencyMode::Available => AVAILABLE_HOLDING_RATIO,
     }
 }
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::decide;
-use crate::decide::Action;
-use crate::decide::OWNERS;
-use crate::decide::Opening;
-use crate::decide::Share;
+use crate::decide::BudgetView;
+use crate::decide::FLEET_OWNERS;
+use crate::decide::HoldingAction;
+use crate::decide::ReleaseLimit;
 use crate::decide::TEAM_OWNERS;
+use crate::decide;
 use crate::escrow::GrantChange;
 use crate::escrow::GrantRow;
 use crate::escrow::SpendPace;
@@ -97,7 +97,7 @@
     fn writer_count(&self) -> usize {
         match self.ownership.is_owned_by_all() {
             true => self.peer_budgets.peer_count() + 1,
-            false => OWNERS,
+            false => FLEET_OWNERS,
         }
     }
 
@@ -129,7 +129,7 @@
             let pace = SpendPace {
                 made: made.own,
                 used: allowance.in_use(),
-                room: allowance.wanted().saturating_add(opening.room),
+                room: allowance.wanted().saturating_add(opening.burst),
                 rate: opening.rate,
                 fleet: made.fleet,
             };
@@ -172,43 +172,43 @@
             let kept = self.kept_on_stop(now, allowance);
             return granted - free.saturating_sub(kept).min(granted);
         }
-        let share = Share {
+        let share = BudgetView {
             free,
             claimed: allowance.reserved,
             undrawn: self.book.undrawn(team, allowance.prepaid),
             routers: self.sharer_count(team),
             demand: allowance.rate(now),
-            team: allowance.rate(now) + self.peer_budgets.demand(team),
+            team_demand: allowance.rate(now) + self.peer_budgets.demand(team),
             wanted: allowance.wanted(),
             reachable: true,
         };
         match self.policy.decide(&share) {
-            Action::Draw(amount) if !allowance.is_negligible(amount) => granted + amount,
-            Action::Return(_) if allowance.waiting.is_empty() && self.limits_log_writes() => {
+            HoldingAction::Draw(amount) if !allowance.is_negligible(amount) => granted + amount,
+            HoldingAction::Return(_) if allowance.waiting.is_empty() && self.limits_log_writes() => {
                 granted - self.amount_to_return(allowance, share).min(granted)
             }
-            Action::Return(amount) if !allowance.is_negligible(amount) => {
+            HoldingAction::Return(amount) if !allowance.is_negligible(amount) => {
                 granted - amount.min(free).min(granted)
             }
-            Action::Draw(_) | Action::Return(_) | Action::None => granted,
+            HoldingAction::Draw(_) | HoldingAction::Return(_) | HoldingAction::None => granted,
         }
     }
 
     /// Returns the total of the policy's successive returns for a budget without waiting requests here. It combines all
     /// steps that no draw would follow into one write.
-    fn amount_to_return(&self, allowance: &GrantBudget, mut share: Share) -> Tokens {
+    fn amount_to_return(&self, allowance: &GrantBudget, mut share: BudgetView) -> Tokens {
         let mut returned = Tokens::ZERO;
-        while let Action::Return(amount) = self.policy.decide(&share) {
+        while let HoldingAction::Return(amount) = self.policy.decide(&share) {
             let amount = amount.min(share.free);
             if allowance.is_negligible(amount) {
                 break;
             }
-            let next = Share {
+            let next = BudgetView {
                 free: share.free - amount,
                 undrawn: share.undrawn.saturating_add(amount),
                 ..share
             };
-            if let Action::Draw(_) = self.policy.decide(&next) {
+            if let HoldingAction::Draw(_) = self.policy.decide(&next) {
                 break;
             }
             returned += amount;
@@ -234,11 +234,11 @@
         team: &TeamId,
         allowance: &GrantBudget,
         granted: Tokens,
-    ) -> Opening {
+    ) -> ReleaseLimit {
         let drawn = granted.saturating_sub(self.book.granted(team));
         let held = self.held(team).saturating_add(drawn);
         let flow = allowance.outflow_rate(now).min(allowance.rate(now));
-        decide::opening(flow, held, DEMAND_COVER)
+        decide::release_limit(flow, held, DEMAND_COVER)
     }
 
     /// Returns whether the pace on record no longer fits.
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -169,7 +169,7 @@
         }
         if !allowance
             .ration
-            .pays(now, &remainder, ask.priority, ask.amount)
+            .admits(now, &remainder, ask.priority, ask.amount)
         {
             return Some(Tokens::ZERO);
         }
--- a/src/router/ownership.rs
+++ b/src/router/ownership.rs
@@ -32,7 +32,7 @@
     /// Replaces the list of routers and recomputes the owners of each team.
     pub(super) fn set_routers(&mut self, me: &VmId, routers: Vec<Candidate>, peers: &[Peer]) {
         self.me = Some(me.clone());
-        self.owners = Owners::draw(routers);
+        self.owners = Owners::select(routers);
         let peers = peers.iter().map(|peer| (peer.vm.clone(), peer.clone()));
         self.peers = peers.collect();
         let teams: Vec<_> = self.remote_owners.keys().cloned().collect();
@@ -42,7 +42,7 @@
 
     /// Determines the owners of a team.
     pub(super) fn add_team(&mut self, team: &TeamId) {
-        let owners = self.owners.of(team);
+        let owners = self.owners.for_team(team);
         let is_owner = self.me.as_ref().is_some_and(|me| owners.contains(&me));
         let peers = match is_owner {
             true => Vec::new(),
@@ -89,7 +89,7 @@
 
     /// Returns whether this router is one of the few owners of a team's budget.
     pub(super) fn owns_for_all(&self, team: &TeamId) -> bool {
-        !self.owners.is_everyone() && self.owners(team).is_empty()
+        !self.owners.includes_all() && self.owners(team).is_empty()
     }
 
     /// Returns whether the list of routers is known. Until then each router of a large fleet would take itself for the
@@ -100,6 +100,6 @@
 
     /// Returns whether every router owns every budget.
     pub(super) fn is_owned_by_all(&self) -> bool {
-        self.owners.is_everyone()
+        self.owners.includes_all()
     }
 }
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -4,7 +4,7 @@
 
 use tracing::info;
 
-use crate::decide::Lean;
+use crate::decide::ConsistencyMode;
 use crate::ids::Attempt;
 use crate::ids::RequestId;
 use crate::ledger::Record;
@@ -149,7 +149,8 @@
         // A router that is cut off from the log may run a request whose claim only its peers know. Where a copy at one
         // peer is enough for that, this router need not be that peer.
         let unlogged_claim =
-            self.tuning.lean == Lean::Available || self.members.keeps_claim(&request.key);
+            self.tuning.lean == ConsistencyMode::Available
+            || self.members.keeps_claim(&request.key);
         if unlogged_claim {
             return Proof::None;
         }
--- a/tests/decisions/each.rs
+++ b/tests/decisions/each.rs
@@ -3,19 +3,21 @@
 use std::time::Duration;
 
 use jasmineridge::AccountLimit;
-use jasmineridge::Action;
 use jasmineridge::BlockHash;
+use jasmineridge::BudgetView;
 use jasmineridge::CacheEvent;
 use jasmineridge::Chooser;
+use jasmineridge::ConsistencyMode;
+use jasmineridge::Criteria;
 use jasmineridge::DomainId;
 use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::EndpointLimit;
 use jasmineridge::Fingerprint;
 use jasmineridge::Health;
+use jasmineridge::HoldingAction;
 use jasmineridge::HoldingPolicy;
 use jasmineridge::Isolation;
-use jasmineridge::Lean;
 use jasmineridge::Limits;
 use jasmineridge::Load;
 use jasmineridge::Observation;
@@ -24,11 +26,9 @@
 use jasmineridge::Quarantine;
 use jasmineridge::RetryBudget;
 use jasmineridge::Sample;
-use jasmineridge::Share;
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use jasmineridge::advise;
 
 use crate::ms;
@@ -104,7 +104,7 @@
     let index = PrefixIndex::new();
     let model = name("m");
     let excluded = [vms[0].clone()];
-    let wish = Wish {
+    let wish = Criteria {
         model: Some(&model),
         prefix: &[],
         domain: &domain,
@@ -112,7 +112,7 @@
         usage: Usage::Heavy,
         prompt: None,
     };
-    chooser.leave(&vms[1], true);
+    chooser.set_leaving(&vms[1], true);
     for _ in 0..4 {
         let choice = chooser
             .choose(now, &wish, &index, &ejector, &mut rng())
@@ -133,8 +133,8 @@
     let (chooser, ejector, vms, domain) = pool(12);
     let mut index = PrefixIndex::new();
     let prompt: Vec<_> = (0..300).map(BlockHash).collect();
-    index.learn(&vms[7], &prompt[..200]);
-    let wish = Wish {
+    index.record_cached(&vms[7], &prompt[..200]);
+    let wish = Criteria {
         model: None,
         prefix: &prompt,
         domain: &domain,
@@ -146,7 +146,7 @@
         .choose(now, &wish, &index, &ejector, &mut rng())
         .unwrap();
     assert_eq!((choice.endpoint, choice.cached), (vms[7].clone(), 200));
-    index.forget(&vms[7], &prompt);
+    index.record_evicted(&vms[7], &prompt);
     assert!(index.matches(&prompt).is_empty());
 }
 
@@ -232,65 +232,74 @@
 /// A budget drains. A router draws while there is plenty, and gives back what would strand when little is left.
 #[test]
 fn holdings_follow_the_budget() {
-    let share = Share {
+    let share = BudgetView {
         free: Tokens(0),
         claimed: Tokens(0),
         undrawn: Tokens(7_000_000),
         routers: 7,
         demand: 100.0,
-        team: 0.0,
+        team_demand: 0.0,
         wanted: Tokens(500),
         reachable: true,
     };
-    let strict = HoldingPolicy::new(Lean::Strict);
-    let available = HoldingPolicy::new(Lean::Available);
-    assert_eq!(strict.decide(&share), Action::Draw(Tokens(540_500)));
-    assert_eq!(available.decide(&share), Action::Draw(Tokens(540_500)));
-    let low = Share {
+    let strict = HoldingPolicy::new(ConsistencyMode::Strict);
+    let available = HoldingPolicy::new(ConsistencyMode::Available);
+    assert_eq!(strict.decide(&share), HoldingAction::Draw(Tokens(540_500)));
+    assert_eq!(
+        available.decide(&share),
+        HoldingAction::Draw(Tokens(540_500))
+    );
+    let low = BudgetView {
         free: Tokens(90_000),
         undrawn: Tokens(7000),
         ..share
     };
-    assert_eq!(strict.decide(&low), Action::Return(Tokens(35_400)));
-    assert_eq!(available.decide(&low), Action::Return(Tokens(29_334)));
-    let scattered = Share {
+    assert_eq!(strict.decide(&low), HoldingAction::Return(Tokens(35_400)));
+    assert_eq!(
+        available.decide(&low),
+        HoldingAction::Return(Tokens(29_334))
+    );
+    let scattered = BudgetView {
         free: Tokens(400),
         undrawn: Tokens(50),
         ..share
     };
-    assert_eq!(strict.decide(&scattered), Action::Return(Tokens(400)));
-    let parted = Share {
+    assert_eq!(
+        strict.decide(&scattered),
+        HoldingAction::Return(Tokens(400))
+    );
+    let parted = BudgetView {
         reachable: false,
         ..share
     };
-    assert_eq!(strict.decide(&parted), Action::None);
+    assert_eq!(strict.decide(&parted), HoldingAction::None);
 }
 
 /// A team has 43 tokens left and one router. Were the aim taken from what is undrawn alone, each draw would lower it, and
 /// the same tokens would go to and fro at each commit; an operator sees the log full of draws and returns.
 #[test]
 fn a_draw_is_not_returned_at_once() {
-    for lean in [Lean::Strict, Lean::Available] {
+    for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
         let policy = HoldingPolicy::new(lean);
-        let before = Share {
+        let before = BudgetView {
             free: Tokens(0),
             claimed: Tokens(0),
             undrawn: Tokens(43),
             routers: 1,
             demand: 30.0,
-            team: 30.0,
+            team_demand: 30.0,
             wanted: Tokens(0),
             reachable: true,
         };
-        let Action::Draw(drawn) = policy.decide(&before) else {
+        let HoldingAction::Draw(drawn) = policy.decide(&before) else {
             panic!("{lean:?} draws nothing");
         };
-        let after = Share {
+        let after = BudgetView {
             free: drawn,
             undrawn: before.undrawn - drawn,
             ..before
         };
-        assert_eq!(policy.decide(&after), Action::None, "{lean:?}");
+        assert_eq!(policy.decide(&after), HoldingAction::None, "{lean:?}");
     }
 }
 
@@ -319,7 +328,7 @@
     assert_eq!((advice.len(), to(0)), (1000, 0));
     assert!(to(1) < 60 && to(2) > 400 && to(3) > 400);
     assert!(advice.iter().all(|a| a.alternates.len() == 2));
-    let early = advice.iter().filter(|a| a.keep < ms(30_000)).count();
+    let early = advice.iter().filter(|a| a.ttl < ms(30_000)).count();
     assert!((400..600).contains(&early), "{early}");
     assert_eq!(advise(&peers[..1], None, &mut rng), None);
 }
@@ -336,22 +345,22 @@
     };
     let found = |index: &PrefixIndex| {
         let found = index.matches(&prompt);
-        found.first().map_or((0, 0.0), |m| (m.blocks, m.trust))
+        found.first().map_or((0, 0.0), |m| (m.blocks, m.confidence))
     };
-    index.event(&vm, &event(1, &prompt, &[]));
+    index.apply_event(&vm, &event(1, &prompt, &[]));
     assert_eq!(found(&index), (4, 1.0));
-    index.event(&vm, &event(2, &[], &prompt[3..]));
+    index.apply_event(&vm, &event(2, &[], &prompt[3..]));
     assert_eq!(found(&index), (3, 1.0));
-    index.event(&vm, &event(5, &[], &[]));
+    index.apply_event(&vm, &event(5, &[], &[]));
     let (blocks, trust) = found(&index);
     assert!(blocks == 3 && trust < 1.0, "{trust}");
-    index.event(&vm, &event(3, &prompt, &prompt[2..]));
+    index.apply_event(&vm, &event(3, &prompt, &prompt[2..]));
     assert_eq!(found(&index), (2, trust), "a late event only takes away");
-    index.event(&vm, &event(1, &prompt[..1], &[]));
+    index.apply_event(&vm, &event(1, &prompt[..1], &[]));
     assert_eq!(found(&index), (1, 1.0), "a restart begins anew");
-    index.served(&vm, &prompt, 4, 0);
+    index.record_served(&vm, &prompt, 4, 0);
     assert!(found(&index).1 < 1.0, "it had less than thought");
-    index.served(&vm, &prompt, 4, 4);
+    index.record_served(&vm, &prompt, 4, 4);
     assert_eq!(found(&index), (4, 1.0));
 }
 
--- a/tests/decisions/homes.rs
+++ b/tests/decisions/homes.rs
@@ -5,13 +5,13 @@
 
 use indexmap::IndexSet;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
 use jasmineridge::Prompt;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -56,9 +56,9 @@
             let mut router = Chooser::new(&name(&format!("router-{n}")));
             for vm in &engines {
                 router.put(vm, &name("domain-0"), &[], 32);
-                router.fix(vm);
+                router.fix_limit(vm);
             }
-            router.share(ROUTERS);
+            router.set_router_count(ROUTERS);
             router
         });
         let routers = routers.collect();
@@ -80,7 +80,7 @@
         self.learn();
         let at = self.rng.random_range(0..ROUTERS);
         let domain = name("domain-0");
-        let wish = Wish {
+        let wish = Criteria {
             model: None,
             prefix: &[],
             domain: &domain,
@@ -91,7 +91,7 @@
         let index = PrefixIndex::new();
         let choice = self.routers[at].choose(self.now, &wish, &index, &self.health, &mut self.rng);
         let choice = choice.expect("all have room");
-        let sent = self.routers[at].send(self.now, &choice, &prompt);
+        let sent = self.routers[at].record_prompt(self.now, &choice, &prompt);
         let (unread, expected) = sent.expect("it is known");
         let vm = choice.endpoint;
         let place = (0..ENGINES).find(|n| engine(*n) == vm);
@@ -119,7 +119,7 @@
                 expected,
                 unread,
             } = token;
-            self.routers[router].came(at, &engine, sent, expected, unread);
+            self.routers[router].record_first_token(at, &engine, sent, expected, unread);
         }
     }
 }
@@ -141,8 +141,8 @@
             fleet.now += ms(40);
             let prompt = Prompt {
                 shared,
-                common: 5000,
-                own: 1000,
+                shared_tokens: 5000,
+                own_tokens: 1000,
             };
             engines.insert(fleet.send(prompt).0);
         }
@@ -165,8 +165,8 @@
         fleet.now += ms(5);
         let prompt = Prompt {
             shared: 7,
-            common: 5000,
-            own: 5000,
+            shared_tokens: 5000,
+            own_tokens: 5000,
         };
         let (vm, wait) = fleet.send(prompt);
         // Within five seconds the demand is known.
--- a/tests/decisions/prefill.rs
+++ b/tests/decisions/prefill.rs
@@ -4,6 +4,7 @@
 use std::time::Instant;
 
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::EjectionLimits;
 use jasmineridge::Ejector;
 use jasmineridge::PrefixIndex;
@@ -11,7 +12,6 @@
 use jasmineridge::Sample;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use rand::RngExt;
 
 use crate::ms;
@@ -47,13 +47,13 @@
             .parts
             .iter()
             .any(|parts| parts.contains(&prompt.shared));
-        let mut tokens = prompt.own;
+        let mut tokens = prompt.own_tokens;
         if !known {
-            tokens += prompt.common;
+            tokens += prompt.shared_tokens;
             self.parts[at].push(prompt.shared);
         }
         if !known && elsewhere {
-            self.read_again += prompt.common;
+            self.read_again += prompt.shared_tokens;
         }
         let time = Duration::from_secs_f64(tokens as f64 / SPEED);
         self.until[at] = self.until[at].max(now) + time;
@@ -81,7 +81,7 @@
     let vms: Vec<VmId> = (0..ENGINES).map(|n| name(&format!("engine-{n}"))).collect();
     for vm in &vms {
         chooser.put(vm, &name("domain-0"), &[], 64);
-        chooser.fix(vm);
+        chooser.fix_limit(vm);
         health.put(now, vm, &name("domain-0"));
     }
     let mut engines = Engines::new(now);
@@ -96,14 +96,14 @@
         let long = rng.random_bool(0.2);
         let prompt = Prompt {
             shared: rng.random_range(0..100),
-            common: if long { 5000 } else { 200 },
-            own: if long {
+            shared_tokens: if long { 5000 } else { 200 },
+            own_tokens: if long {
                 rng.random_range(1000..50_000)
             } else {
                 600
             },
         };
-        let wish = Wish {
+        let wish = Criteria {
             model: None,
             prefix: &[],
             domain: &name("domain-0"),
@@ -119,10 +119,10 @@
             .position(|other| *other == vm)
             .expect("one of them");
         chooser.start(now, &vm);
-        let expected = chooser.send(now, &choice, &prompt);
+        let expected = chooser.record_prompt(now, &choice, &prompt);
         let first = engines.read(now, at, &prompt);
         if let Some((unread, expected)) = expected {
-            chooser.came(first, &vm, now, expected, unread);
+            chooser.record_first_token(first, &vm, now, expected, unread);
         }
         running.push((first + ms(1000), vm));
         if !long {
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -9,6 +9,7 @@
 use jasmineridge::AccountLimit;
 use jasmineridge::CacheEvent;
 use jasmineridge::Chooser;
+use jasmineridge::Criteria;
 use jasmineridge::DomainId;
 use jasmineridge::Ejector;
 use jasmineridge::FairQueue;
@@ -21,7 +22,6 @@
 use jasmineridge::Tokens;
 use jasmineridge::Usage;
 use jasmineridge::VmId;
-use jasmineridge::Wish;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -160,7 +160,7 @@
 
     pub(crate) fn cache(&mut self, engine: usize, event: &CacheEvent) {
         if let Self::Ours(ours) = self {
-            ours.index.event(&ours.vms[engine], event);
+            ours.index.apply_event(&ours.vms[engine], event);
         }
     }
 
@@ -253,7 +253,7 @@
         let mut usage = Usage::Heavy;
         let id = self.queue.pop_where(now, |id, used| {
             usage = used;
-            let wish = Wish {
+            let wish = Criteria {
                 model: None,
                 prefix: &jobs[*id].prompt,
                 domain: &self.domain,
@@ -269,7 +269,7 @@
         let choice = chosen?;
         let vm = choice.endpoint;
         self.chooser.start(now, &vm);
-        self.index.learn(&vm, &jobs[id].prompt);
+        self.index.record_cached(&vm, &jobs[id].prompt);
         Some(Sent {
             id,
             engine: self.vms.iter().position(|v| *v == vm)?,
@@ -282,7 +282,8 @@
         let vm = self.vms[engine].clone();
         let sample = match end {
             End::Whole(time, cached) => {
-                self.index.served(&vm, &job.prompt, job.thought, cached);
+                self.index
+                    .record_served(&vm, &job.prompt, job.thought, cached);
                 Sample::Answered(time)
             }
             End::Failed | End::Refused => {
