--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -116,7 +116,9 @@
     ) -> Duration {
         let prefill = &self.prefill;
         let unread = prefill.uncached_tokens(now, prompt, home);
-        let recomputed = prefill.time(unread - prompt.own_tokens).mul_f64(RECOMPUTE_FACTOR);
+        let recomputed = prefill
+            .time(unread - prompt.own_tokens)
+            .mul_f64(RECOMPUTE_FACTOR);
         let running = RUNNING_DELAY * self.own_limit.active();
         let remote = match self.domain == *domain {
             true => Duration::ZERO,
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -447,11 +447,16 @@
 /// Returns what must stay available for requests that are more urgent than a priority. In contact with the log, the
 /// next spending pace makes more available; in an outage, budget becomes available slowly, and less urgent requests
 /// would use up every bit of it.
-pub(super) fn urgent_reserve(away: bool, now: Instant, ration: &PriorityDemand, priority: u8) -> Tokens {
+pub(super) fn urgent_reserve(
+    away: bool,
+    now: Instant,
+    ration: &PriorityDemand,
+    priority: u8,
+) -> Tokens {
     match away {
-        true => {
-            Tokens((ration.higher_priority_rate(now, priority) * URGENT_RESERVE_TIME.as_secs_f64()) as u64)
-        }
+        true => Tokens(
+            (ration.higher_priority_rate(now, priority) * URGENT_RESERVE_TIME.as_secs_f64()) as u64,
+        ),
         false => Tokens::ZERO,
     }
 }
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::decide;
 use crate::decide::BudgetView;
 use crate::decide::FLEET_OWNERS;
 use crate::decide::HoldingAction;
 use crate::decide::ReleaseLimit;
 use crate::decide::TEAM_OWNERS;
-use crate::decide;
 use crate::escrow::GrantChange;
 use crate::escrow::GrantRow;
 use crate::escrow::SpendPace;
@@ -184,7 +184,9 @@
         };
         match self.policy.decide(&share) {
             HoldingAction::Draw(amount) if !allowance.is_negligible(amount) => granted + amount,
-            HoldingAction::Return(_) if allowance.waiting.is_empty() && self.limits_log_writes() => {
+            HoldingAction::Return(_)
+                if allowance.waiting.is_empty() && self.limits_log_writes() =>
+            {
                 granted - self.amount_to_return(allowance, share).min(granted)
             }
             HoldingAction::Return(amount) if !allowance.is_negligible(amount) => {
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -148,8 +148,7 @@
         }
         // A router that is cut off from the log may run a request whose claim only its peers know. Where a copy at one
         // peer is enough for that, this router need not be that peer.
-        let unlogged_claim =
-            self.tuning.lean == ConsistencyMode::Available
+        let unlogged_claim = self.tuning.lean == ConsistencyMode::Available
             || self.members.keeps_claim(&request.key);
         if unlogged_claim {
             return Proof::None;
