--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -133,7 +133,7 @@
             State::Running { .. } => {
                 // Run beside its claim in a log outage, and another router had it first: this run can't be billed.
                 warn!(event = "run-unbillable", request = %id);
-                self.lose(now, id);
+                self.abort_unbillable(now, id);
             }
             State::Abandoned => self.finish(now, id),
             _ => {}
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -293,9 +293,9 @@
     pub(crate) fn handle(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
             Event::Arrived(arrival) => self.arrive(now, *arrival),
-            Event::HungUp(id) => self.hung_up(now, id),
-            Event::Started(id) => self.started(now, id),
-            Event::Ended(id, end) => self.ended(now, id, end),
+            Event::HungUp(id) => self.handle_disconnect(now, id),
+            Event::Started(id) => self.record_first_token(now, id),
+            Event::Ended(id, end) => self.handle_run_end(now, id, end),
             Event::Appended {
                 router,
                 sequence,
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -30,7 +30,7 @@
 use crate::router::request::Stake;
 use crate::router::request::State;
 use crate::router::request::Terms;
-use crate::router::run::FAILED_RETRY;
+use crate::router::run::FAILURE_RETRY;
 use crate::tokens::Tokens;
 
 /// How many times its objective an endpoint may be silent about a request. Few answers that come at all take longer than
@@ -148,7 +148,7 @@
     }
 
     /// Takes the end of a run of a request that is passed on as it came.
-    pub(crate) fn relay_ended(&mut self, now: Instant, id: RequestId, end: RunEnd) {
+    pub(crate) fn handle_relay_end(&mut self, now: Instant, id: RequestId, end: RunEnd) {
         let request = &mut self.requests[&id];
         let limit = request.limit;
         let repeat = match &mut request.relay {
@@ -166,12 +166,12 @@
             RunEnd::Unsent => self.finish(now, id),
             _ if stopped => self.finish(now, id),
             RunEnd::NotRun { retry } => {
-                if self.relay_elsewhere(now, id) {
+                if self.retry_relay(now, id) {
                     return;
                 }
                 let detail = "no endpoint took the request";
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-                self.refuse_with(now, id, problem.retry_in(retry.unwrap_or(FAILED_RETRY)));
+                self.refuse_with(now, id, problem.retry_in(retry.unwrap_or(FAILURE_RETRY)));
             }
             RunEnd::Broken { begun, .. } => {
                 let again = match repeat {
@@ -179,7 +179,7 @@
                     Repeat::Whole => !begun,
                     Repeat::Resume => true,
                 };
-                if again && self.relay_elsewhere(now, id) {
+                if again && self.retry_relay(now, id) {
                     return;
                 }
                 let detail = "the endpoint failed before the answer was whole";
@@ -191,12 +191,12 @@
     }
 
     /// Sends a request to another endpoint, where its route's attempts and the retry budget allow it.
-    fn relay_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
+    fn retry_relay(&mut self, now: Instant, id: RequestId) -> bool {
         let spent = self.requests[&id]
             .relay
             .as_ref()
             .is_some_and(|terms| terms.runs >= terms.attempts);
-        !spent && now < self.requests[&id].deadline && self.try_elsewhere(now, id)
+        !spent && now < self.requests[&id].deadline && self.retry_elsewhere(now, id)
     }
 
     /// Leaves the endpoints that have said nothing about requests that another one may run as well.
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -29,10 +29,10 @@
 use crate::tokens::Tokens;
 
 /// When a caller whose endpoint failed may come back: the time that a failing endpoint takes to be ejected.
-pub(crate) const FAILED_RETRY: Duration = Duration::from_secs(1);
+pub(crate) const FAILURE_RETRY: Duration = Duration::from_secs(1);
 
 /// How long a request waits for budget that can't be drawn in a log outage: a short stutter of the log passes.
-const FUNDING_OUTAGE: Duration = Duration::from_secs(2);
+const FUNDING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How many endpoints one request may be sent to: were it poison, it would take that many down.
 const MAX_RUNS: usize = 3;
@@ -42,7 +42,7 @@
     pub(crate) fn dispatch(&mut self, now: Instant, id: RequestId, endpoint: VmId) {
         let Some(address) = self.endpoint_address(&self.requests[&id].pool, &endpoint) else {
             self.free_endpoint(now, id);
-            self.not_run(now, id, None);
+            self.retry_or_refuse(now, id, None);
             return;
         };
         let request = &mut self.requests[&id];
@@ -68,7 +68,7 @@
     }
 
     /// Takes note of the first token.
-    pub(crate) fn started(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn record_first_token(&mut self, now: Instant, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && let State::Running {
                 first,
@@ -85,7 +85,7 @@
     }
 
     /// Takes the end of a run.
-    pub(crate) fn ended(&mut self, now: Instant, id: RequestId, end: RunEnd) {
+    pub(crate) fn handle_run_end(&mut self, now: Instant, id: RequestId, end: RunEnd) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -97,7 +97,7 @@
         info!(event = "run-ended", request = %id, end = end.name());
         self.leave_endpoint(now, id, &end);
         if relay {
-            self.relay_ended(now, id, end);
+            self.handle_relay_end(now, id, end);
             return;
         }
         match end {
@@ -108,10 +108,10 @@
                 let outcome = Outcome::Answered { status, body };
                 self.bill(id, price, outcome, Then::Release);
             }
-            RunEnd::NotRun { retry } => self.not_run(now, id, retry),
-            RunEnd::Broken { usage, begun, .. } => self.broken(now, id, usage, begun),
-            RunEnd::CallerGone { usage } => self.caller_gone(id, usage),
-            RunEnd::Unsent => self.unsent(now, id),
+            RunEnd::NotRun { retry } => self.retry_or_refuse(now, id, retry),
+            RunEnd::Broken { usage, begun, .. } => self.handle_broken_run(now, id, usage, begun),
+            RunEnd::CallerGone { usage } => self.bill_disconnected(id, usage),
+            RunEnd::Unsent => self.handle_unsent_run(now, id),
         }
     }
 
@@ -161,7 +161,7 @@
             (_, Then::Release) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
                 let detail = "the bill did not take effect; send it again to have it whole";
-                self.cut(id, detail);
+                self.abort_answer(id, detail);
             }
             (_, Then::Released | Then::Nothing) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
@@ -171,10 +171,10 @@
     }
 
     /// Tries another endpoint for a request that its endpoint did not run, or refuses it.
-    fn not_run(&mut self, now: Instant, id: RequestId, retry: Option<Duration>) {
+    fn retry_or_refuse(&mut self, now: Instant, id: RequestId, retry: Option<Duration>) {
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
-        if self.try_elsewhere(now, id) {
+        if self.retry_elsewhere(now, id) {
             return;
         }
         if self.requests[&id].wasted > Tokens::ZERO {
@@ -183,7 +183,7 @@
         }
         let detail = "no endpoint took the request";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-        let problem = problem.retry_in(retry.unwrap_or(FAILED_RETRY));
+        let problem = problem.retry_in(retry.unwrap_or(FAILURE_RETRY));
         self.refuse_with(now, id, problem);
     }
 
@@ -191,7 +191,7 @@
     ///
     /// When many endpoints fail, each retry adds load where there is least room for it; without the budget, retries
     /// keep the rest down.
-    pub(crate) fn try_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
+    pub(crate) fn retry_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
         let tries = self.requests[&id].tried.len();
         if tries >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
             return false;
@@ -205,7 +205,13 @@
     }
 
     /// Takes a run whose endpoint failed after it had the request.
-    fn broken(&mut self, now: Instant, id: RequestId, usage: Option<Usage>, begun: bool) {
+    fn handle_broken_run(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        usage: Option<Usage>,
+        begun: bool,
+    ) {
         let request = &mut self.requests[&id];
         let used = usage.map_or(request.reserve, Usage::total);
         if !request.idempotent {
@@ -220,7 +226,7 @@
         }
         if !begun {
             request.wasted = request.wasted.saturating_add(used).min(request.reserve);
-            if self.try_elsewhere(now, id) {
+            if self.retry_elsewhere(now, id) {
                 return;
             }
             self.fail(id, Tokens::ZERO);
@@ -231,13 +237,13 @@
 
     /// Ends a request whose run failed and is not tried again; what it used is billed.
     fn fail(&mut self, id: RequestId, used: Tokens) {
-        self.cut(id, "the endpoint failed before the answer was whole");
+        self.abort_answer(id, "the endpoint failed before the answer was whole");
         self.bill(id, used, Outcome::Cut, Then::Nothing);
     }
 
-    fn cut(&mut self, id: RequestId, detail: &str) {
+    fn abort_answer(&mut self, id: RequestId, detail: &str) {
         let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
-        let problem = problem.retry_in(FAILED_RETRY);
+        let problem = problem.retry_in(FAILURE_RETRY);
         self.effects.push(Effect::Cut(id, Box::new(problem)));
     }
 
@@ -249,7 +255,7 @@
     /// Gives up a request that was dispatched when its caller was gone already.
     ///
     /// No answer will come. Were its claim left standing, each retry would be told that the request is in progress.
-    fn unsent(&mut self, now: Instant, id: RequestId) {
+    fn handle_unsent_run(&mut self, now: Instant, id: RequestId) {
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
         match request.dispatched {
@@ -259,7 +265,7 @@
     }
 
     /// Bills what a caller that went away had of its answer.
-    fn caller_gone(&mut self, id: RequestId, usage: Option<Usage>) {
+    fn bill_disconnected(&mut self, id: RequestId, usage: Option<Usage>) {
         let request = &self.requests[&id];
         let (used, outcome) = match (&request.work, request.idempotent) {
             (Work::Completion { .. }, _) => {
@@ -273,7 +279,7 @@
     }
 
     /// Gives up a request that can't be billed any more.
-    pub(crate) fn lose(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn abort_unbillable(&mut self, now: Instant, id: RequestId) {
         let released = matches!(
             self.requests[&id].state,
             State::Billing {
@@ -283,14 +289,14 @@
         if !released {
             let detail =
                 "this router was taken for dead by the others, so the answer could not be billed";
-            self.cut(id, detail);
+            self.abort_answer(id, detail);
         }
         self.free_endpoint(now, id);
         self.finish(now, id);
     }
 
     /// Takes a caller's going away before its answer began.
-    pub(crate) fn hung_up(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn handle_disconnect(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -398,7 +404,7 @@
                 let detail = "the wait for an endpoint outlasted the deadline";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
-            State::Funding { .. } if outage && now >= request.arrived + FUNDING_OUTAGE => {
+            State::Funding { .. } if outage && now >= request.arrived + FUNDING_TIMEOUT => {
                 let detail = "the log service can't be reached, and this router holds too little of the budget";
                 let instead = self.other_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
@@ -418,6 +424,6 @@
         let at = self.claimant(id).map(str::to_owned);
         let detail = "another attempt of the request is in progress";
         let problem = Problem::new(ProblemKind::InProgress, Ran::Unknown, detail);
-        self.send_refusal(now, id, problem.retry_in(FAILED_RETRY).go_to(at));
+        self.send_refusal(now, id, problem.retry_in(FAILURE_RETRY).go_to(at));
     }
 }
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -249,7 +249,7 @@
                 self.fund(now, id);
             }
             State::Claiming { .. } | State::Running { .. } | State::Billing { .. } => {
-                self.lose(now, id);
+                self.abort_unbillable(now, id);
             }
             State::Proving { .. } => self.give_up_proof(now, id),
             State::Abandoned => self.finish(now, id),
