--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -430,7 +430,7 @@
     /// Does what time asks for where budgets are kept by grants.
     fn tick_grants(&mut self, now: Instant, tuning: GrantTuning) {
         self.expire_requests(now);
-        self.leave_silent(now);
+        self.leave_silent_endpoints(now);
         self.beat(now);
         self.fetch_table(now);
         self.tick_pools(now);
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -271,7 +271,7 @@
     /// Takes a request off its endpoint, whose run ended.
     pub(crate) fn leave_endpoint(&mut self, now: Instant, id: RequestId, end: &RunEnd) {
         let request = &mut self.requests[&id];
-        let silent = request.is_silent(now);
+        let silent = request.has_silent_endpoint(now);
         let State::Running {
             endpoint,
             since,
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -35,10 +35,10 @@
 
 /// How many times its objective an endpoint may be silent about a request. Few answers that come at all take longer than
 /// twice theirs, and with three times there is still time for another endpoint within the caller's patience.
-const SILENT: f64 = 2.5;
+const SILENCE_FACTOR: f64 = 2.5;
 
 /// Names the account and the team of requests that need no bearer key; no budget is kept for it.
-const PUBLIC: &str = "public";
+const PUBLIC_NAME: &str = "public";
 
 impl Core {
     /// Decides on a request that is to be passed on as it came.
@@ -67,20 +67,20 @@
         let payer = payer.filter(|_| !route.public);
         let account = payer.map(|payer| payer.account.clone());
         let team = payer.map_or_else(public_team, |payer| payer.team.clone());
-        let pool = self.draw_pool(route);
+        let pool = self.pick_pool(route);
         let stride = table.pool(&pool).map_or(1, |pool| pool.stride);
         let wait = arrival
             .patience
             .unwrap_or(self.tuning.patience)
             .min(route.timeout);
-        if !self.takes_until(now, now + wait) {
+        if !self.accepts_until(now, now + wait) {
             return Err(self.not_serving());
         }
         let owner = account.clone().unwrap_or_else(public_account);
         Ok(Request {
             key: RequestKey {
                 account: owner,
-                key: own_key(arrival.id),
+                key: unique_key(arrival.id),
             },
             attempt: arrival.attempt,
             fingerprint: arrival.request,
@@ -124,7 +124,7 @@
     ///
     /// Callers keep an address for seconds after the router began to leave, and are served that long. What comes later and
     /// may outlast the grace time would be cut off by its end, while at another router it is served whole.
-    fn takes_until(&self, now: Instant, deadline: Instant) -> bool {
+    fn accepts_until(&self, now: Instant, deadline: Instant) -> bool {
         match (self.phase, self.tuning.accounting) {
             (Phase::Serving, _) => true,
             (Phase::Draining { since, .. }, Accounting::Grants(tuning)) => {
@@ -135,7 +135,7 @@
     }
 
     /// Draws one of a route's pools by weight.
-    fn draw_pool(&mut self, route: &PathRoute) -> PoolId {
+    fn pick_pool(&mut self, route: &PathRoute) -> PoolId {
         let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
         let mut at = self.rng.random_range(0..total.max(1));
         for (pool, weight) in &route.split {
@@ -153,7 +153,7 @@
         let limit = request.limit;
         let repeat = match &mut request.relay {
             Some(terms) => {
-                terms.count(&end, limit);
+                terms.record_run(&end, limit);
                 terms.repeat
             }
             None => return,
@@ -174,12 +174,12 @@
                 self.refuse_with(now, id, problem.retry_in(retry.unwrap_or(FAILURE_RETRY)));
             }
             RunEnd::Broken { begun, .. } => {
-                let again = match repeat {
+                let retryable = match repeat {
                     Repeat::Never => false,
                     Repeat::Whole => !begun,
                     Repeat::Resume => true,
                 };
-                if again && self.retry_relay(now, id) {
+                if retryable && self.retry_relay(now, id) {
                     return;
                 }
                 let detail = "the endpoint failed before the answer was whole";
@@ -192,16 +192,19 @@
 
     /// Sends a request to another endpoint, where its route's attempts and the retry budget allow it.
     fn retry_relay(&mut self, now: Instant, id: RequestId) -> bool {
-        let spent = self.requests[&id]
+        let exhausted = self.requests[&id]
             .relay
             .as_ref()
             .is_some_and(|terms| terms.runs >= terms.attempts);
-        !spent && now < self.requests[&id].deadline && self.retry_elsewhere(now, id)
+        !exhausted && now < self.requests[&id].deadline && self.retry_elsewhere(now, id)
     }
 
     /// Leaves the endpoints that have said nothing about requests that another one may run as well.
-    pub(crate) fn leave_silent(&mut self, now: Instant) {
-        let silent = self.requests.iter().filter(|(_, r)| r.may_leave(now));
+    pub(crate) fn leave_silent_endpoints(&mut self, now: Instant) {
+        let silent = self
+            .requests
+            .iter()
+            .filter(|(_, r)| r.should_switch_endpoint(now));
         let silent: Vec<_> = silent.map(|(id, _)| *id).collect();
         for id in silent {
             if !self.retries.has_retry(now) {
@@ -234,20 +237,20 @@
 
 impl Request {
     /// Returns whether its endpoint has said nothing for so long that another one is likely to be sooner.
-    fn may_leave(&self, now: Instant) -> bool {
+    fn should_switch_endpoint(&self, now: Instant) -> bool {
         let Some(terms) = &self.relay else {
             return false;
         };
-        let again = terms.repeat != Repeat::Never && terms.runs + 1 < terms.attempts;
-        again && !terms.left && !terms.stopped && self.is_silent(now)
+        let retryable = terms.repeat != Repeat::Never && terms.runs + 1 < terms.attempts;
+        retryable && !terms.left && !terms.stopped && self.has_silent_endpoint(now)
     }
 
     /// Returns whether it runs, and nothing came for much longer than its answer should take.
-    pub(crate) fn is_silent(&self, now: Instant) -> bool {
+    pub(crate) fn has_silent_endpoint(&self, now: Instant) -> bool {
         let limit = self
             .relay
             .as_ref()
-            .map(|terms| terms.objective.mul_f64(SILENT));
+            .map(|terms| terms.objective.mul_f64(SILENCE_FACTOR));
         match (&self.state, limit) {
             (
                 State::Running {
@@ -276,8 +279,8 @@
     /// The prompt counts once however many runs read it, and only where something came of one of them. Charged for the
     /// prompts of runs that failed, a team would be refused with a budget that it never used: with endpoints that fail
     /// and callers that leave early, a thirtieth of all that was counted was of that kind.
-    fn count(&mut self, end: &RunEnd, limit: Tokens) {
-        let given = match end {
+    fn record_run(&mut self, end: &RunEnd, limit: Tokens) {
+        let delivered = match end {
             RunEnd::NotRun { .. } | RunEnd::Unsent => return,
             RunEnd::Whole { usage } => Some(usage.answer),
             RunEnd::Broken { usage, begun, .. } => usage
@@ -288,7 +291,7 @@
             RunEnd::Answered { status, .. } => is_success(*status).then_some(limit),
         };
         self.runs += 1;
-        let Some(answer) = given else {
+        let Some(answer) = delivered else {
             return;
         };
         if self.used == Tokens::ZERO {
@@ -303,15 +306,15 @@
 }
 
 fn public_account() -> AccountId {
-    PUBLIC.parse().expect("it is a name")
+    PUBLIC_NAME.parse().expect("it is a name")
 }
 
 fn public_team() -> TeamId {
-    PUBLIC.parse().expect("it is a name")
+    PUBLIC_NAME.parse().expect("it is a name")
 }
 
 /// Returns a key that no other request has: a request without a caller's key is none but itself.
-fn own_key(id: RequestId) -> crate::ids::IdempotencyKey {
+fn unique_key(id: RequestId) -> crate::ids::IdempotencyKey {
     id.to_string().parse().expect("a number is a name")
 }
 
