--- a/src/router/stream.rs
+++ b/src/router/ledger_stream.rs
@@ -26,11 +26,11 @@
 use crate::router::request::State;
 
 /// How often the ledger is asked for where the log does not give it: a log that only stutters answers sooner.
-const FETCH: Duration = Duration::from_secs(2);
+const FETCH_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long to wait for peers to close the incarnation before: its last batches are sent off every half second, and the
 /// peers take turns 300 ms apart.
-const EARLIER: Duration = Duration::from_secs(3);
+const PREDECESSOR_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Core {
     /// Folds records of the ledger.
@@ -63,10 +63,10 @@
         if self.phase == Phase::CatchingUp {
             return;
         }
-        if batch.router == self.me && !repeated(&verdicts) {
-            let back = self.appender.folded(batch.sequence, verdicts);
-            for (ticket, verdict) in back {
-                self.verdict(now, ticket, verdict);
+        if batch.router == self.me && !is_duplicate(&verdicts) {
+            let resolved = self.appender.folded(batch.sequence, verdicts);
+            for (ticket, verdict) in resolved {
+                self.handle_verdict(now, ticket, verdict);
             }
         }
         let closed = self.ledger.router(self.me).is_some_and(|r| r.closed);
@@ -76,9 +76,9 @@
         }
     }
 
-    fn verdict(&mut self, now: Instant, ticket: Ticket, verdict: Verdict) {
+    fn handle_verdict(&mut self, now: Instant, ticket: Ticket, verdict: Verdict) {
         match ticket {
-            Ticket::Open => self.opened(now, &verdict),
+            Ticket::Open => self.handle_open_verdict(now, &verdict),
             Ticket::Claim(id) => self.claim_verdict(now, id, verdict),
             Ticket::Release(id) | Ticket::Refuse(id) => self.proof_verdict(now, id, &verdict),
             Ticket::Bill {
@@ -104,7 +104,7 @@
     }
 
     /// Takes the log service's answer to an append.
-    pub(crate) fn appended(
+    pub(crate) fn handle_appended(
         &mut self,
         now: Instant,
         router: Incarnation,
@@ -118,15 +118,15 @@
 
     /// Asks peers for the ledger when the log gives none, as in an outage.
     pub(crate) fn catch_up(&mut self, now: Instant) {
-        if self.phase == Phase::CatchingUp && now >= self.started + FETCH {
+        if self.phase == Phase::CatchingUp && now >= self.started + FETCH_INTERVAL {
             self.fetch_ledger(now);
         }
-        self.open_in_turn(now);
+        self.open_after_predecessor(now);
     }
 
     /// Asks peers for the ledger, now and then.
     pub(crate) fn fetch_ledger(&mut self, now: Instant) {
-        if self.fetched.is_some_and(|at| now < at + FETCH) {
+        if self.fetched.is_some_and(|at| now < at + FETCH_INTERVAL) {
             return;
         }
         self.fetched = Some(now);
@@ -135,13 +135,13 @@
     }
 
     /// Begins to take part, once all that the log held at the start is folded.
-    pub(crate) fn caught_up(&mut self, now: Instant) {
+    pub(crate) fn handle_caught_up(&mut self, now: Instant) {
         if self.phase != Phase::CatchingUp {
             return;
         }
         self.members.forgive(now);
         self.caught = Some(now);
-        self.open_in_turn(now);
+        self.open_after_predecessor(now);
     }
 
     /// Opens, once the incarnation that ran on this VM before is closed.
@@ -149,15 +149,16 @@
     /// To open ends that one. Where it died in a log outage its last bills are known to its peers alone, and came they
     /// later than that, they would be void, and answers that callers have whole would stay unbilled. The peers bring
     /// them and close it as soon as they hear this router.
-    pub(crate) fn open_in_turn(&mut self, now: Instant) {
+    pub(crate) fn open_after_predecessor(&mut self, now: Instant) {
         let Some(caught) = self.caught else {
             return;
         };
         let mut routers = self.ledger.routers();
-        let earlier = routers.any(|(_, state)| !state.closed && state.vm == self.tuning.vm);
+        let has_predecessor = routers.any(|(_, state)| !state.closed && state.vm == self.tuning.vm);
         drop(routers);
-        let waits = earlier && !self.closers().is_empty() && now < caught + EARLIER;
-        if !waits {
+        let waiting =
+            has_predecessor && !self.closers().is_empty() && now < caught + PREDECESSOR_TIMEOUT;
+        if !waiting {
             self.caught = None;
             self.open();
         }
@@ -173,7 +174,7 @@
         self.appender.push(record, Ticket::Open);
     }
 
-    fn opened(&mut self, now: Instant, verdict: &Verdict) {
+    fn handle_open_verdict(&mut self, now: Instant, verdict: &Verdict) {
         if *verdict != Verdict::Accepted {
             self.reincarnate(now);
         } else if self.phase == Phase::Opening {
@@ -212,7 +213,7 @@
         }
         let ids: Vec<_> = self.requests.keys().copied().collect();
         for id in ids {
-            self.start_over(now, id);
+            self.restart_request(now, id);
         }
     }
 
@@ -232,7 +233,7 @@
     }
 
     /// Brings a request through the end of the incarnation that claimed it.
-    fn start_over(&mut self, now: Instant, id: RequestId) {
+    fn restart_request(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -258,6 +259,6 @@
 }
 
 /// Tells whether a batch was a copy of one that was folded before.
-fn repeated(verdicts: &[Verdict]) -> bool {
+fn is_duplicate(verdicts: &[Verdict]) -> bool {
     verdicts.first() == Some(&Verdict::Void(Void::Sequence))
 }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -21,6 +21,7 @@
 mod grant_review;
 mod grants;
 mod isolation;
+mod ledger_stream;
 mod lending;
 mod loans;
 mod members;
@@ -41,7 +42,6 @@
 mod request;
 mod roster;
 mod run;
-mod stream;
 mod table_watch;
 #[cfg(test)]
 mod tests;
