--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -29,7 +29,7 @@
 }
 
 /// Where the choice is made.
-pub(crate) struct Site<'a> {
+pub(crate) struct PickContext<'a> {
     /// The router's VM.
     pub(crate) router: &'a VmId,
     /// Its failure domain.
@@ -54,20 +54,20 @@
         request: &Request,
         usage: Usage,
         quarantine: &Quarantine,
-        site: &Site<'_>,
+        context: &PickContext<'_>,
         rng: &mut R,
     ) -> Option<Choice>
     where
         R: Rng,
     {
-        let blocks = blocks(request);
-        let forbidden = self.forbidden(request, quarantine, site);
+        let blocks = prompt_blocks(request);
+        let forbidden = self.forbidden(request, quarantine, context);
         let avoided = quarantine.avoid(request.fingerprint);
         let mut choose = |excluded: &[VmId]| {
             let wish = Wish {
-                model: model(request),
+                model: requested_model(request),
                 prefix: &blocks,
-                domain: site.domain,
+                domain: context.domain,
                 excluded,
                 usage,
                 prompt: request.relay.as_ref().and_then(|terms| terms.prompt),
@@ -85,12 +85,17 @@
 
     /// Returns the endpoints that a suspect must keep off: those where another suspect runs, and those where another
     /// router's may.
-    fn forbidden(&self, request: &Request, quarantine: &Quarantine, site: &Site<'_>) -> Vec<VmId> {
+    fn forbidden(
+        &self,
+        request: &Request,
+        quarantine: &Quarantine,
+        context: &PickContext<'_>,
+    ) -> Vec<VmId> {
         if quarantine.isolation(request.fingerprint) == Isolation::None {
             return Vec::new();
         }
-        let mine = |vm: &VmId| suspect_router(site.routers, vm) == Some(site.router);
-        let (owned, others): (Vec<_>, Vec<_>) = self.chooser.vms().cloned().partition(mine);
+        let is_own = |vm: &VmId| suspect_router(context.routers, vm) == Some(context.router);
+        let (owned, others): (Vec<_>, Vec<_>) = self.chooser.vms().cloned().partition(is_own);
         let mut forbidden = quarantine.forbid(request.fingerprint);
         // With fewer endpoints than routers some router owns none, and its suspects run where they can.
         if !owned.is_empty() {
@@ -100,7 +105,7 @@
     }
 }
 
-fn model(request: &Request) -> Option<&ModelId> {
+fn requested_model(request: &Request) -> Option<&ModelId> {
     match &request.work {
         Work::Completion { model, .. } => Some(model),
         Work::Call { .. } | Work::Relay(_) => None,
@@ -108,7 +113,7 @@
 }
 
 /// Returns the blocks of a request's prompt.
-pub(crate) fn blocks(request: &Request) -> Vec<BlockHash> {
+pub(crate) fn prompt_blocks(request: &Request) -> Vec<BlockHash> {
     match &request.work {
         Work::Completion { blocks, .. } => blocks.iter().map(|b| BlockHash(*b)).collect(),
         Work::Call { .. } | Work::Relay(_) => Vec::new(),
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -30,9 +30,9 @@
 use crate::router::effect::Effect;
 use crate::router::event::EndpointLoad;
 use crate::router::event::RunEnd;
+use crate::router::picker::PickContext;
 use crate::router::picker::Picker;
-use crate::router::picker::Site;
-use crate::router::picker::blocks;
+use crate::router::picker::prompt_blocks;
 use crate::router::relay::table_pools;
 use crate::router::request::State;
 use crate::vms::VmEntry;
@@ -220,12 +220,12 @@
             let Some(request) = requests.get(id) else {
                 return false;
             };
-            let site = Site {
+            let context = PickContext {
                 router: &tuning.vm,
                 domain: &tuning.domain,
                 routers: &routers,
             };
-            chosen = picker.pick(now, request, usage, quarantine, &site, rng);
+            chosen = picker.pick(now, request, usage, quarantine, &context, rng);
             chosen.is_some()
         })?;
         pool.places.swap_remove(&id);
@@ -237,7 +237,7 @@
         let routers = self.members.roster.serving();
         let request = self.requests.get(&id)?;
         let pool = self.pools.get(&request.pool)?;
-        let site = Site {
+        let context = PickContext {
             router: &self.tuning.vm,
             domain: &self.tuning.domain,
             routers: &routers,
@@ -247,7 +247,7 @@
             request,
             Usage::Heavy,
             &self.quarantine,
-            &site,
+            &context,
             &mut self.rng,
         )?;
         self.enter_endpoint(now, id, &choice);
@@ -261,7 +261,7 @@
         };
         self.quarantine.start(request.fingerprint, &choice.endpoint);
         if let Some(pool) = self.pools.get_mut(&request.pool) {
-            let blocks = blocks(request);
+            let blocks = prompt_blocks(request);
             pool.picker.chooser.start(now, &choice.endpoint);
             pool.picker.index.learn(&choice.endpoint, &blocks);
         }
