--- a/src/platform/registry.rs
+++ b/src/platform/registry.rs
@@ -14,7 +14,7 @@
 use crate::ids::NameError;
 use crate::labels::Labels;
 use crate::platform::follow::News;
-use crate::router::BORN;
+use crate::router::BORN_LABEL;
 use crate::router::Event;
 use crate::vms::VmEntry;
 use crate::vms::VmList;
@@ -230,7 +230,7 @@
     labels.set("pool", &server.service);
     labels.set("slots", &server.slots.to_string());
     if let Some(born) = server.born {
-        labels.set(BORN, &born.to_string());
+        labels.set(BORN_LABEL, &born.to_string());
     }
     Ok(VmEntry {
         vm: key.parse()?,
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -76,7 +76,7 @@
 pub(crate) use event::Silence;
 pub(crate) use event::Usage;
 pub(crate) use event::Work;
-pub(crate) use pool::BORN;
+pub(crate) use pool::BORN_LABEL;
 pub use problem::Problem;
 pub use problem::ProblemKind;
 pub use problem::Ran;
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -71,7 +71,7 @@
             return;
         };
         for (vm, address) in &pool.addresses {
-            let Some(loaded) = pool.loaded.get(vm) else {
+            let Some(loaded) = pool.loaded_models.get(vm) else {
                 continue;
             };
             let lacks = models.iter().any(|model| !loaded.contains(model));
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -39,13 +39,13 @@
 use crate::vms::VmState;
 
 /// How often an endpoint is asked for its load and its cache's events.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The label that says how many requests an endpoint runs at once.
-const SLOTS: &str = "slots";
+const SLOTS_LABEL: &str = "slots";
 
 /// The label that tells an endpoint's lives apart, where it may come back under its name.
-pub(crate) const BORN: &str = "born";
+pub(crate) const BORN_LABEL: &str = "born";
 
 /// A pool's endpoints and its queue.
 pub(crate) struct Pool {
@@ -54,15 +54,15 @@
     pub(crate) places: IndexMap<RequestId, Place>,
     pub(crate) addresses: IndexMap<VmId, SocketAddr>,
     /// When the life of each endpoint began, if it says so.
-    lives: IndexMap<VmId, Option<String>>,
+    births: IndexMap<VmId, Option<String>>,
     /// The models that each endpoint last said it has.
-    pub(crate) loaded: IndexMap<VmId, Vec<ModelId>>,
+    pub(crate) loaded_models: IndexMap<VmId, Vec<ModelId>>,
     /// The failure domain of each endpoint.
     domains: IndexMap<VmId, DomainId>,
     /// Whether all endpoints are in drained failure domains.
-    drained: bool,
-    engines: bool,
-    probed: Option<Instant>,
+    all_drained: bool,
+    is_engine: bool,
+    last_probe: Option<Instant>,
 }
 
 impl Pool {
@@ -72,12 +72,12 @@
             queue: FairQueue::new(length, rng),
             places: IndexMap::new(),
             addresses: IndexMap::new(),
-            lives: IndexMap::new(),
-            loaded: IndexMap::new(),
+            births: IndexMap::new(),
+            loaded_models: IndexMap::new(),
             domains: IndexMap::new(),
-            drained: false,
-            engines: false,
-            probed: None,
+            all_drained: false,
+            is_engine: false,
+            last_probe: None,
         }
     }
 
@@ -94,7 +94,7 @@
             PoolKind::Engine { models, .. } => models,
             PoolKind::Service { .. } => &[],
         };
-        self.engines = matches!(spec.kind, PoolKind::Engine { .. });
+        self.is_engine = matches!(spec.kind, PoolKind::Engine { .. });
         let listed: Vec<_> = vms
             .iter()
             .filter(|entry| spec.select.matches(&entry.labels))
@@ -106,20 +106,23 @@
             .cloned()
             .collect();
         for vm in gone {
-            self.forget(&vm);
+            self.remove_endpoint(&vm);
         }
         for entry in &listed {
-            let life = entry.labels.get(BORN).map(str::to_owned);
-            let known = self.lives.get(&entry.vm);
+            let life = entry.labels.get(BORN_LABEL).map(str::to_owned);
+            let known = self.births.get(&entry.vm);
             if known.is_some_and(|known| *known != life) {
                 info!(event = "reborn", endpoint = %entry.vm, life);
-                self.forget(&entry.vm);
+                self.remove_endpoint(&entry.vm);
             }
-            self.lives.insert(entry.vm.clone(), life);
+            self.births.insert(entry.vm.clone(), life);
         }
         for entry in listed {
             let vm = &entry.vm;
-            let slots = entry.labels.get(SLOTS).and_then(|slots| slots.parse().ok());
+            let slots = entry
+                .labels
+                .get(SLOTS_LABEL)
+                .and_then(|slots| slots.parse().ok());
             let limit = slots.unwrap_or(spec.concurrency);
             self.picker.chooser.put(vm, &entry.domain, models, limit);
             if fixed {
@@ -133,13 +136,13 @@
             self.domains.insert(vm.clone(), entry.domain.clone());
         }
         let mut domains = self.domains.values();
-        self.drained =
+        self.all_drained =
             !self.domains.is_empty() && domains.all(|domain| drained.domains.contains(domain));
     }
 
     /// Returns whether all endpoints are in drained failure domains.
     pub(crate) fn is_drained(&self) -> bool {
-        self.drained
+        self.all_drained
     }
 
     /// Returns the endpoints in a failure domain.
@@ -151,11 +154,11 @@
 
 impl Pool {
     /// Forgets an endpoint that is gone, or of which a new life knows nothing of what it had read and how it was.
-    fn forget(&mut self, vm: &VmId) {
+    fn remove_endpoint(&mut self, vm: &VmId) {
         self.addresses.shift_remove(vm);
         self.domains.shift_remove(vm);
-        self.lives.shift_remove(vm);
-        self.loaded.shift_remove(vm);
+        self.births.shift_remove(vm);
+        self.loaded_models.shift_remove(vm);
         self.picker.chooser.remove(vm);
         self.picker.health.remove(vm);
     }
@@ -196,7 +199,7 @@
     }
 
     /// Takes the next request that an endpoint has room for out of a queue.
-    pub(crate) fn next_with_room(
+    pub(crate) fn pop_dispatchable(
         &mut self,
         now: Instant,
         name: &PoolId,
@@ -250,12 +253,12 @@
             &context,
             &mut self.rng,
         )?;
-        self.enter_endpoint(now, id, &choice);
+        self.assign_endpoint(now, id, &choice);
         Some(choice.endpoint)
     }
 
     /// Counts a request at the endpoint that was chosen for it.
-    pub(crate) fn enter_endpoint(&mut self, now: Instant, id: RequestId, choice: &Choice) {
+    pub(crate) fn assign_endpoint(&mut self, now: Instant, id: RequestId, choice: &Choice) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -269,7 +272,7 @@
     }
 
     /// Takes a request off its endpoint, whose run ended.
-    pub(crate) fn leave_endpoint(&mut self, now: Instant, id: RequestId, end: &RunEnd) {
+    pub(crate) fn record_run_result(&mut self, now: Instant, id: RequestId, end: &RunEnd) {
         let request = &mut self.requests[&id];
         let silent = request.has_silent_endpoint(now);
         let State::Running {
@@ -281,11 +284,11 @@
             return;
         };
         let endpoint = endpoint.clone();
-        let waited = first.map(|at| at - *since);
-        let time = waited.unwrap_or(now - *since);
+        let first_token = first.map(|at| at - *since);
+        let latency = first_token.unwrap_or(now - *since);
         let (sample, evidence) = match end {
             RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
-                (Sample::Answered(time), Some(Evidence::Answered(time)))
+                (Sample::Answered(latency), Some(Evidence::Answered(latency)))
             }
             RunEnd::NotRun { retry: Some(_) } => (Sample::Refused, None),
             RunEnd::NotRun { .. } | RunEnd::Broken { .. } => {
@@ -333,7 +336,7 @@
     }
 
     /// Takes in an endpoint's report of its load.
-    pub(crate) fn endpoint_load(&mut self, now: Instant, vm: &VmId, load: &EndpointLoad) {
+    pub(crate) fn handle_endpoint_load(&mut self, now: Instant, vm: &VmId, load: &EndpointLoad) {
         for pool in self.pools.values_mut() {
             let report = Load {
                 running: load.running,
@@ -342,14 +345,14 @@
             };
             pool.picker.chooser.report(now, vm, report);
             if pool.addresses.contains_key(vm) {
-                pool.loaded.insert(vm.clone(), load.models.clone());
+                pool.loaded_models.insert(vm.clone(), load.models.clone());
             }
         }
         self.pump_all(now);
     }
 
     /// Takes in an endpoint's news of its prefix cache.
-    pub(crate) fn endpoint_cache(&mut self, vm: &VmId, events: &[CacheEvent]) {
+    pub(crate) fn handle_cache_events(&mut self, vm: &VmId, events: &[CacheEvent]) {
         for pool in self.pools.values_mut() {
             if !pool.addresses.contains_key(vm) {
                 continue;
@@ -365,9 +368,9 @@
         self.expire_queues(now);
         self.pump_all(now);
         let mut probes = Vec::new();
-        for pool in self.pools.values_mut().filter(|pool| pool.engines) {
-            if pool.probed.is_none_or(|at| now >= at + PROBE) {
-                pool.probed = Some(now);
+        for pool in self.pools.values_mut().filter(|pool| pool.is_engine) {
+            if pool.last_probe.is_none_or(|at| now >= at + PROBE_INTERVAL) {
+                pool.last_probe = Some(now);
                 probes.extend(pool.addresses.clone());
             }
         }
@@ -377,7 +380,7 @@
     }
 
     /// Takes note of a check of an endpoint.
-    pub(crate) fn endpoint_checked(&mut self, now: Instant, vm: &VmId, passed: bool) {
+    pub(crate) fn handle_endpoint_check(&mut self, now: Instant, vm: &VmId, passed: bool) {
         if !passed {
             info!(event = "endpoint-check-failed", endpoint = %vm);
         }
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -64,8 +64,8 @@
 
     /// Sends waiting requests on while endpoints have room.
     pub(crate) fn pump(&mut self, now: Instant, name: &PoolId) {
-        while let Some((id, choice)) = self.next_with_room(now, name) {
-            self.enter_endpoint(now, id, &choice);
+        while let Some((id, choice)) = self.pop_dispatchable(now, name) {
+            self.assign_endpoint(now, id, &choice);
             self.claim(now, id, choice.endpoint);
         }
     }
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -95,7 +95,7 @@
         let price = request.reserve;
         let relay = request.relay.is_some();
         info!(event = "run-ended", request = %id, end = end.name());
-        self.leave_endpoint(now, id, &end);
+        self.record_run_result(now, id, &end);
         if relay {
             self.handle_relay_end(now, id, end);
             return;
--- a/src/router/tests/reborn.rs
+++ b/src/router/tests/reborn.rs
@@ -1,6 +1,6 @@
 //! Endpoints that start again under the name that they had.
 
-use crate::router::BORN;
+use crate::router::BORN_LABEL;
 use crate::router::Event;
 use crate::router::tests::site::Site;
 use crate::router::tests::site::entry;
@@ -9,7 +9,7 @@
 fn endpoint(site: &Site, born: &str) -> Event {
     let list = site.core.members.roster.list().clone();
     let mut vms = list.vms;
-    let engine = entry("engine-0", 9100, &[("pool", "pool"), (BORN, born)]);
+    let engine = entry("engine-0", 9100, &[("pool", "pool"), (BORN_LABEL, born)]);
     vms[0] = engine;
     Event::VmList(VmList {
         as_of: list.as_of + 1,
