--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -329,7 +329,7 @@
             Event::TableUnsent(vm) => self.table_unsent(now, &vm),
             Event::TableConfirmed(at) => self.table_confirmed(now, at),
             Event::Grants(event) => self.grants(now, event),
-            Event::Reads(reading) => self.reads(now, &reading),
+            Event::Reads(reading) => self.record_peer_prompt(now, &reading),
             Event::Given(id, gift) => self.given(id, &gift),
             Event::Taken(gift, taken) => self.funds.finish_transfer(&gift, taken),
             Event::LoanAsked(id, ask) => self.loan_asked(now, id, &ask),
--- a/src/router/poison.rs
+++ b/src/router/poison.rs
@@ -24,7 +24,7 @@
     }
 
     /// Takes note that an endpoint died, and records its suspects in the ledger for the other routers.
-    pub(crate) fn endpoint_died(&mut self, now: Instant, endpoint: &VmId) {
+    pub(crate) fn record_crash(&mut self, now: Instant, endpoint: &VmId) {
         for request in self.quarantine.crash(now, endpoint) {
             warn!(event = "crash", %endpoint, %request);
             let record = Record::Crash {
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -268,7 +268,7 @@
             pool.picker.chooser.start(now, &choice.endpoint);
             pool.picker.index.learn(&choice.endpoint, &blocks);
         }
-        self.send_prompt(now, id, choice);
+        self.record_prompt(now, id, choice);
     }
 
     /// Takes a request off its endpoint, whose run ended.
@@ -306,7 +306,7 @@
             RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
                 self.quarantine.complete(fingerprint, &endpoint);
             }
-            RunEnd::Broken { died: true, .. } => self.endpoint_died(now, &endpoint),
+            RunEnd::Broken { died: true, .. } => self.record_crash(now, &endpoint),
             _ => self.quarantine.end(fingerprint, &endpoint),
         }
         let request = &self.requests[&id];
--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -11,11 +11,11 @@
 
 /// How many unread tokens of a prompt the other routers are told of: at 85 tokens a millisecond, what delays others by
 /// some 20 ms. Shorter prompts are many, and telling of each would cost more than it spares.
-const LONG: u64 = 1500;
+const LONG_PROMPT_TOKENS: u64 = 1500;
 
 impl Core {
     /// Counts a request's prompt at the endpoint that was chosen for it, and tells the other routers of a long one.
-    pub(crate) fn send_prompt(&mut self, now: Instant, id: RequestId, choice: &Choice) {
+    pub(crate) fn record_prompt(&mut self, now: Instant, id: RequestId, choice: &Choice) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -26,7 +26,10 @@
             return;
         };
         terms.expected = pool.picker.chooser.send(now, choice, &prompt);
-        let Some((tokens, _)) = terms.expected.filter(|(tokens, _)| *tokens >= LONG) else {
+        let Some((tokens, _)) = terms
+            .expected
+            .filter(|(tokens, _)| *tokens >= LONG_PROMPT_TOKENS)
+        else {
             return;
         };
         let reading = Reading {
@@ -39,7 +42,7 @@
     }
 
     /// Learns from a request's first token.
-    pub(crate) fn prompt_read(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn record_prompt_read(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -55,7 +58,7 @@
     }
 
     /// Counts a prompt that another router sent to an endpoint.
-    pub(crate) fn reads(&mut self, now: Instant, reading: &Reading) {
+    pub(crate) fn record_peer_prompt(&mut self, now: Instant, reading: &Reading) {
         for pool in self.pools.values_mut() {
             let chooser = &mut pool.picker.chooser;
             chooser.told(now, &reading.endpoint, reading.shared, reading.tokens);
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -80,7 +80,7 @@
                 info!(event = "first", request = %id, %endpoint, took_ms = (now - *since).as_millis());
             }
             first.get_or_insert(now);
-            self.prompt_read(now, id);
+            self.record_prompt_read(now, id);
         }
     }
 
@@ -192,8 +192,8 @@
     /// When many endpoints fail, each retry adds load where there is least room for it; without the budget, retries
     /// keep the rest down.
     pub(crate) fn retry_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
-        let tries = self.requests[&id].tried.len();
-        if tries >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
+        let attempts = self.requests[&id].tried.len();
+        if attempts >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
             return false;
         }
         let Some(endpoint) = self.pick_endpoint(now, id) else {
@@ -376,13 +376,13 @@
     /// Ends requests that waited past their deadline, and runs those whose claims a log outage holds up.
     pub(crate) fn expire_requests(&mut self, now: Instant) {
         let outage = self.in_outage(now);
-        let late: Vec<_> = self
+        let expired: Vec<_> = self
             .requests
             .iter()
             .filter(|(_, r)| now >= r.deadline || (outage && r.state.needs_log()))
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in expired {
             self.expire_request(now, id);
         }
     }
@@ -391,16 +391,16 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let past = now >= request.deadline;
+        let overdue = now >= request.deadline;
         let outage = self.in_outage(now);
         match &request.state {
-            State::Running { .. } if past => self.stop_relay(id),
-            State::Contended if past => self.refuse_contended(now, id),
-            State::Funding { .. } if past => {
+            State::Running { .. } if overdue => self.stop_relay(id),
+            State::Contended if overdue => self.refuse_contended(now, id),
+            State::Funding { .. } if overdue => {
                 let detail = "the wait for the team's budget outlasted the deadline";
                 self.refuse(now, id, ProblemKind::BudgetSpent, detail);
             }
-            State::Queued if past => {
+            State::Queued if overdue => {
                 let detail = "the wait for an endpoint outlasted the deadline";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
@@ -410,7 +410,7 @@
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.retry_in(OUTAGE_RETRY).go_to(instead));
             }
-            State::Claiming { .. } if past => {
+            State::Claiming { .. } if overdue => {
                 let detail = "the log service did not take the claim in time";
                 self.refuse(now, id, ProblemKind::LogOutage, detail);
             }
