--- a/src/router/ledger_stream.rs
+++ b/src/router/ledger_stream.rs
@@ -1,4 +1,4 @@
-//! Folding the log's streams, and what the verdicts bring about.
+//! Folds the ledger's stream of the log, and acts on the verdicts of the folded records.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -25,15 +25,15 @@
 use crate::router::request::Stake;
 use crate::router::request::State;
 
-/// How often the ledger is asked for where the log does not give it: a log that only stutters answers sooner.
+/// How often peers are asked for the ledger if the log does not provide it. A log that only hiccups answers sooner.
 const FETCH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long to wait for peers to close the incarnation before: its last batches are sent off every half second, and the
-/// peers take turns 300 ms apart.
+/// How long to wait for peers to close the previous incarnation: they send its last batches every half second, and take
+/// turns 300 ms apart.
 const PREDECESSOR_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Core {
-    /// Folds records of the ledger.
+    /// Folds entries of the ledger's stream.
     pub(crate) fn fold_ledger(&mut self, now: Instant, entries: Vec<Entry>) {
         self.members.log_answered(now);
         for entry in entries {
@@ -43,7 +43,7 @@
             match decode(&entry.data) {
                 Ok(batch) => self.fold_batch(now, &entry, &batch),
                 Err(error) => {
-                    // A newer program's record must not stop this router; it stands in `status`.
+                    // A record of a newer version must not stop this router; `status` reports it as unreadable.
                     warn!(event = "record-unreadable", offset = %entry.offset, %error);
                     self.ledger.skip(entry.offset);
                 }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes the log service's answer to an append.
+    /// Handles the log service's answer to an append.
     pub(crate) fn handle_appended(
         &mut self,
         now: Instant,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Asks peers for the ledger when the log gives none, as in an outage.
+    /// Asks peers for the ledger if the log does not provide it, as in an outage, and opens when possible.
     pub(crate) fn catch_up(&mut self, now: Instant) {
         if self.phase == Phase::CatchingUp && now >= self.started + FETCH_INTERVAL {
             self.fetch_ledger(now);
@@ -124,7 +124,7 @@
         self.open_after_predecessor(now);
     }
 
-    /// Asks peers for the ledger, now and then.
+    /// Asks peers for the ledger, at most once per [`FETCH_INTERVAL`].
     pub(crate) fn fetch_ledger(&mut self, now: Instant) {
         if self.fetched.is_some_and(|at| now < at + FETCH_INTERVAL) {
             return;
@@ -134,7 +134,7 @@
         self.effects.push(Effect::Fetch(peers));
     }
 
-    /// Begins to take part, once all that the log held at the start is folded.
+    /// Prepares to open once everything that the log held at startup is folded.
     pub(crate) fn handle_caught_up(&mut self, now: Instant) {
         if self.phase != Phase::CatchingUp {
             return;
@@ -144,11 +144,11 @@
         self.open_after_predecessor(now);
     }
 
-    /// Opens, once the incarnation that ran on this VM before is closed.
+    /// Opens once the previous incarnation on this VM is closed.
     ///
-    /// To open ends that one. Where it died in a log outage its last bills are known to its peers alone, and came they
-    /// later than that, they would be void, and answers that callers have whole would stay unbilled. The peers bring
-    /// them and close it as soon as they hear this router.
+    /// Opening ends the previous incarnation. If that one crashed in a log outage, only its peers have its last bills.
+    /// Bills appended after the opening would be void, so that complete answers would stay unbilled. The peers append
+    /// the bills and close the previous incarnation as soon as they hear from this router.
     pub(crate) fn open_after_predecessor(&mut self, now: Instant) {
         let Some(caught) = self.caught else {
             return;
@@ -184,11 +184,11 @@
         self.fund_all(now);
     }
 
-    /// Begins a new life: this router's incarnation is closed, by another that took it for dead.
+    /// Starts a new incarnation after another router closed the current one as unresponsive.
     ///
-    /// What it held went back to the teams, and what it appends from now on is void. Streams in progress can't be
-    /// billed any more, so they are cut; a caller that saw a whole answer would have had it for nothing. Requests that
-    /// were not dispatched go on under the new incarnation.
+    /// The budget it held went back to the teams, and anything it appends from now on is void. Streams in progress can
+    /// no longer be billed, so they are cut off; otherwise their callers would get complete answers for free. Requests
+    /// that were not dispatched continue under the new incarnation.
     pub(crate) fn reincarnate(&mut self, now: Instant) {
         let old = self.me;
         self.me = Incarnation(self.rng.next_u64());
@@ -206,7 +206,7 @@
         }
         for ticket in abandoned.abandon() {
             if let Ticket::TopUp(id, record) = ticket {
-                // It counts once by its name, so it may be sent again.
+                // A top-up counts only once per id, so it may be appended again.
                 self.appender
                     .push(record.clone(), Ticket::TopUp(id, record));
             }
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Takes over a state that a checkpoint or a peer holds, if it is ahead.
+    /// Adopts a ledger state from a checkpoint or a peer, if it is ahead of this router's.
     pub(crate) fn adopt_ledger(&mut self, now: Instant, ledger: Ledger) {
         if ledger.next() <= self.ledger.next() {
             return;
@@ -226,13 +226,13 @@
         self.ledger = ledger;
         self.members.forgive(now);
         if self.phase != Phase::CatchingUp {
-            // The verdicts of what was folded in between are not to be had: whatever waits for one can't be told
-            // what became of it. A new incarnation makes all of that void or settled.
+            // The verdicts of the records that this skips are not available, so the outcome of anything that waits
+            // for one is unknown. Under a new incarnation, all of it is void or settled.
             self.reincarnate(now);
         }
     }
 
-    /// Brings a request through the end of the incarnation that claimed it.
+    /// Restarts or ends a request after the incarnation that claimed it has ended.
     fn restart_request(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -258,7 +258,7 @@
     }
 }
 
-/// Tells whether a batch was a copy of one that was folded before.
+/// Returns whether a batch is a copy of one that was already folded.
 fn is_duplicate(verdicts: &[Verdict]) -> bool {
     verdicts.first() == Some(&Verdict::Void(Void::Sequence))
 }
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -1,4 +1,4 @@
-//! Picking one of a pool's endpoints for a request.
+//! Picks one of a pool's endpoints for a request.
 
 use std::time::Instant;
 
@@ -21,20 +21,20 @@
 use crate::router::event::Work;
 use crate::router::request::Request;
 
-/// What a choice among a pool's endpoints rests on.
+/// The state by which one of a pool's endpoints is chosen.
 pub(crate) struct Picker {
     pub(crate) chooser: Chooser,
     pub(crate) index: PrefixIndex,
     pub(crate) health: Ejector,
 }
 
-/// Where the choice is made.
+/// The router for which an endpoint is picked.
 pub(crate) struct PickContext<'a> {
-    /// The router's VM.
+    /// VM of the router.
     pub(crate) router: &'a VmId,
-    /// Its failure domain.
+    /// Failure domain of the router.
     pub(crate) domain: &'a DomainId,
-    /// All routers' VMs.
+    /// VMs of all routers.
     pub(crate) routers: &'a [VmId],
 }
 
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Picks an endpoint: one that the quarantine has nothing against, or else one that it does not forbid.
+    /// Picks an endpoint that is not forbidden. One that the quarantine advises against is picked only if no other is
+    /// available.
     pub(crate) fn pick<R>(
         &self,
         now: Instant,
@@ -83,8 +84,8 @@
         choose(&[request.tried.clone(), forbidden].concat())
     }
 
-    /// Returns the endpoints that a suspect must keep off: those where another suspect runs, and those where another
-    /// router's may.
+    /// Returns the endpoints that a suspect must not use: those where another suspect runs, and those that belong to
+    /// other routers for running their suspects.
     fn forbidden(
         &self,
         request: &Request,
@@ -97,7 +98,7 @@
         let is_own = |vm: &VmId| suspect_router(context.routers, vm) == Some(context.router);
         let (owned, others): (Vec<_>, Vec<_>) = self.chooser.vms().cloned().partition(is_own);
         let mut forbidden = quarantine.forbid(request.fingerprint);
-        // With fewer endpoints than routers some router owns none, and its suspects run where they can.
+        // With fewer endpoints than routers, some routers own none, and their suspects may use any other endpoint.
         if !owned.is_empty() {
             forbidden.extend(others);
         }
@@ -112,7 +113,7 @@
     }
 }
 
-/// Returns the blocks of a request's prompt.
+/// Returns the block hashes of a request's prompt.
 pub(crate) fn prompt_blocks(request: &Request) -> Vec<BlockHash> {
     match &request.work {
         Work::Completion { blocks, .. } => blocks.iter().map(|b| BlockHash(*b)).collect(),
--- a/src/router/poison.rs
+++ b/src/router/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints: noticing it, telling the fleet, and keeping them away.
+//! Detects requests that crash endpoints, reports them to the fleet, and keeps them from being run again.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 use crate::router::core::Ticket;
 
 impl Core {
-    /// Returns whether a request is known to crash endpoints, here or in the fleet.
+    /// Returns whether a request is known to crash endpoints, to this router or to the fleet.
     pub(crate) fn is_poison(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -23,7 +23,7 @@
         here || self.ledger.quarantined(request.fingerprint)
     }
 
-    /// Takes note that an endpoint died, and records its suspects in the ledger for the other routers.
+    /// Records that an endpoint crashed, and reports the suspected requests to the other routers through the ledger.
     pub(crate) fn record_crash(&mut self, now: Instant, endpoint: &VmId) {
         for request in self.quarantine.crash(now, endpoint) {
             warn!(event = "crash", %endpoint, %request);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Learns of crashes that other routers saw.
+    /// Learns of crashes that other routers reported.
     pub(crate) fn learn_crashes(&mut self, now: Instant, batch: &Batch, verdicts: &[Verdict]) {
         if batch.router == self.me {
             return;
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -1,4 +1,4 @@
-//! A pool's endpoints, and the requests that are on their way to them.
+//! Pools of endpoints, and the assignment of requests to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,13 +38,13 @@
 use crate::vms::VmEntry;
 use crate::vms::VmState;
 
-/// How often an endpoint is asked for its load and its cache's events.
+/// How often an endpoint is asked for its load and its cache events.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The label that says how many requests an endpoint runs at once.
+/// The label for the number of requests that an endpoint runs at once.
 const SLOTS_LABEL: &str = "slots";
 
-/// The label that tells an endpoint's lives apart, where it may come back under its name.
+/// The label that changes when an endpoint restarts under the same name.
 pub(crate) const BORN_LABEL: &str = "born";
 
 /// A pool's endpoints and its queue.
@@ -53,9 +53,9 @@
     pub(crate) queue: FairQueue<RequestId>,
     pub(crate) places: IndexMap<RequestId, Place>,
     pub(crate) addresses: IndexMap<VmId, SocketAddr>,
-    /// When the life of each endpoint began, if it says so.
+    /// Value of each endpoint's `born` label, if it has one.
     births: IndexMap<VmId, Option<String>>,
-    /// The models that each endpoint last said it has.
+    /// The models that each endpoint last reported as loaded.
     pub(crate) loaded_models: IndexMap<VmId, Vec<ModelId>>,
     /// The failure domain of each endpoint.
     domains: IndexMap<VmId, DomainId>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Brings the endpoints in line with the configuration and the VM list.
+    /// Updates the endpoints to match the configuration and the VM list.
     fn refresh(
         &mut self,
         now: Instant,
@@ -153,7 +153,7 @@
 }
 
 impl Pool {
-    /// Forgets an endpoint that is gone, or of which a new life knows nothing of what it had read and how it was.
+    /// Removes an endpoint that is gone, or that restarted, so that its cached prompts and its health no longer apply.
     fn remove_endpoint(&mut self, vm: &VmId) {
         self.addresses.shift_remove(vm);
         self.domains.shift_remove(vm);
@@ -165,7 +165,7 @@
 }
 
 impl Core {
-    /// Brings all pools in line with the configuration and the VM list.
+    /// Updates all pools to match the configuration and the VM list.
     pub(crate) fn rebuild_pools(&mut self, now: Instant) {
         let specs: Vec<_> = self
             .config
@@ -192,13 +192,13 @@
         self.pump_all(now);
     }
 
-    /// Returns where an endpoint listens.
+    /// Returns the address at which an endpoint listens.
     pub(crate) fn endpoint_address(&self, pool: &PoolId, endpoint: &VmId) -> Option<String> {
         let address = self.pools.get(pool)?.addresses.get(endpoint)?;
         Some(address.to_string())
     }
 
-    /// Takes the next request that an endpoint has room for out of a queue.
+    /// Removes from a pool's queue the next request for which an endpoint has capacity.
     pub(crate) fn pop_dispatchable(
         &mut self,
         now: Instant,
@@ -235,7 +235,7 @@
         Some((id, chosen?))
     }
 
-    /// Picks another endpoint for a request whose run failed, and counts the request there.
+    /// Picks another endpoint for a request whose run failed, and assigns the request to it.
     pub(crate) fn pick_endpoint(&mut self, now: Instant, id: RequestId) -> Option<VmId> {
         let routers = self.members.roster.serving();
         let request = self.requests.get(&id)?;
@@ -257,7 +257,7 @@
         Some(choice.endpoint)
     }
 
-    /// Counts a request at the endpoint that was chosen for it.
+    /// Assigns a request to the endpoint that was chosen for it.
     pub(crate) fn assign_endpoint(&mut self, now: Instant, id: RequestId, choice: &Choice) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -271,7 +271,7 @@
         self.record_prompt(now, id, choice);
     }
 
-    /// Takes a request off its endpoint, whose run ended.
+    /// Removes a request whose run ended from its endpoint, and records the result.
     pub(crate) fn record_run_result(&mut self, now: Instant, id: RequestId, end: &RunEnd) {
         let request = &mut self.requests[&id];
         let silent = request.has_silent_endpoint(now);
@@ -294,7 +294,7 @@
             RunEnd::NotRun { .. } | RunEnd::Broken { .. } => {
                 (Sample::Other, Some(Evidence::Failed))
             }
-            // A caller that gave up on an endpoint's silence tells of the endpoint, one that left early does not.
+            // A caller that gave up on a silent endpoint counts against the endpoint; one that left early does not.
             RunEnd::CallerGone { .. } if silent => (Sample::Other, Some(Evidence::Failed)),
             RunEnd::CallerGone { .. } | RunEnd::Unsent => (Sample::Other, None),
         };
@@ -322,7 +322,7 @@
         self.pump(now, &pool);
     }
 
-    /// Takes a request off its endpoint, which it never reached or whose run is of no more use.
+    /// Removes a request from an endpoint that it never reached, or where its run is no longer of use.
     pub(crate) fn free_endpoint(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Takes in an endpoint's report of its load.
+    /// Records an endpoint's load report.
     pub(crate) fn handle_endpoint_load(&mut self, now: Instant, vm: &VmId, load: &EndpointLoad) {
         for pool in self.pools.values_mut() {
             let report = Load {
@@ -351,7 +351,7 @@
         self.pump_all(now);
     }
 
-    /// Takes in an endpoint's news of its prefix cache.
+    /// Applies an endpoint's prefix cache events to the index.
     pub(crate) fn handle_cache_events(&mut self, vm: &VmId, events: &[CacheEvent]) {
         for pool in self.pools.values_mut() {
             if !pool.addresses.contains_key(vm) {
@@ -363,7 +363,7 @@
         }
     }
 
-    /// Refuses what waited too long, fills what has room, and asks endpoints how they are.
+    /// Refuses requests that waited too long, fills endpoints that have capacity, and probes engines.
     pub(crate) fn tick_pools(&mut self, now: Instant) {
         self.expire_queues(now);
         self.pump_all(now);
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Takes note of a check of an endpoint.
+    /// Records the result of an endpoint's health check.
     pub(crate) fn handle_endpoint_check(&mut self, now: Instant, vm: &VmId, passed: bool) {
         if !passed {
             info!(event = "endpoint-check-failed", endpoint = %vm);
--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -1,4 +1,4 @@
-//! What endpoints have to read: told to the other routers, and learnt from first tokens.
+//! Tracks the prompts that endpoints have to read: tells the other routers of long ones, and learns from first tokens.
 
 use std::time::Instant;
 
@@ -9,12 +9,12 @@
 use crate::router::event::Reading;
 use crate::router::request::State;
 
-/// How many unread tokens of a prompt the other routers are told of: at 85 tokens a millisecond, what delays others by
-/// some 20 ms. Shorter prompts are many, and telling of each would cost more than it spares.
+/// The number of unread tokens from which the other routers are told of a prompt. At 85 tokens per millisecond, it
+/// delays other requests by some 20 ms. Shorter prompts are frequent, and sending each would cost more than it saves.
 const LONG_PROMPT_TOKENS: u64 = 1500;
 
 impl Core {
-    /// Counts a request's prompt at the endpoint that was chosen for it, and tells the other routers of a long one.
+    /// Counts a request's prompt at the endpoint that was chosen for it, and tells the other routers if it is long.
     pub(crate) fn record_prompt(&mut self, now: Instant, id: RequestId, choice: &Choice) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -41,7 +41,7 @@
         self.effects.push(Effect::Tell(reading, peers));
     }
 
-    /// Learns from a request's first token.
+    /// Updates the estimates of an endpoint's backlog and reading speed from a request's first token.
     pub(crate) fn record_prompt_read(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -1,5 +1,5 @@
-//! Requests that are passed on as they came: without a key of the caller's, each is one attempt and ends with its
-//! connection.
+//! Relayed requests, which are forwarded unchanged. Without a key from the caller, each is a single attempt and ends
+//! with its connection.
 
 use std::time::Instant;
 
@@ -33,15 +33,15 @@
 use crate::router::run::FAILURE_RETRY;
 use crate::tokens::Tokens;
 
-/// How many times its objective an endpoint may be silent about a request. Few answers that come at all take longer than
-/// twice theirs, and with three times there is still time for another endpoint within the caller's patience.
+/// How many times a request's latency objective its endpoint may stay silent. Few answers that come at all take longer
+/// than twice the objective, and even three times leaves time to try another endpoint before the caller gives up.
 const SILENCE_FACTOR: f64 = 2.5;
 
-/// Names the account and the team of requests that need no bearer key; no budget is kept for it.
+/// Account and team name of requests that need no bearer key. No budget is kept for it.
 const PUBLIC_NAME: &str = "public";
 
 impl Core {
-    /// Decides on a request that is to be passed on as it came.
+    /// Admits or refuses a request that is to be relayed.
     pub(crate) fn admit_relay(
         &mut self,
         now: Instant,
@@ -61,7 +61,7 @@
         };
         let payer = table.payer(&arrival.bearer.0);
         if payer.is_none() && !route.public && table.payers().next().is_some() {
-            let detail = "the bearer key is none that is in force";
+            let detail = "the bearer key is unknown or no longer valid";
             return Err(self.deny(now, ProblemKind::Unauthorized, detail));
         }
         let payer = payer.filter(|_| !route.public);
@@ -120,10 +120,11 @@
         })
     }
 
-    /// Returns whether a new request is taken that may last until a deadline.
+    /// Returns whether a new request is accepted that may last until a deadline.
     ///
-    /// Callers keep an address for seconds after the router began to leave, and are served that long. What comes later and
-    /// may outlast the grace time would be cut off by its end, while at another router it is served whole.
+    /// Callers keep an address for seconds after the router has started to drain, and are served that long. Later
+    /// requests that may outlast the grace period would be cut off at its end, while another router can serve them
+    /// completely.
     fn accepts_until(&self, now: Instant, deadline: Instant) -> bool {
         match (self.phase, self.tuning.accounting) {
             (Phase::Serving, _) => true,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Draws one of a route's pools by weight.
+    /// Picks one of a route's pools at random, by weight.
     fn pick_pool(&mut self, route: &PathRoute) -> PoolId {
         let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
         let mut at = self.rng.random_range(0..total.max(1));
@@ -147,7 +148,7 @@
         route.split[0].0.clone()
     }
 
-    /// Takes the end of a run of a request that is passed on as it came.
+    /// Handles the end of a relayed request's run.
     pub(crate) fn handle_relay_end(&mut self, now: Instant, id: RequestId, end: RunEnd) {
         let request = &mut self.requests[&id];
         let limit = request.limit;
@@ -169,7 +170,7 @@
                 if self.retry_relay(now, id) {
                     return;
                 }
-                let detail = "no endpoint took the request";
+                let detail = "no endpoint accepted the request";
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.retry_in(retry.unwrap_or(FAILURE_RETRY)));
             }
@@ -182,7 +183,7 @@
                 if retryable && self.retry_relay(now, id) {
                     return;
                 }
-                let detail = "the endpoint failed before the answer was whole";
+                let detail = "the endpoint failed before the answer was complete";
                 let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
                 self.effects.push(Effect::Cut(id, Box::new(problem)));
                 self.finish(now, id);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Sends a request to another endpoint, where its route's attempts and the retry budget allow it.
+    /// Sends a request to another endpoint, if its route's attempts and the retry budget allow it.
     fn retry_relay(&mut self, now: Instant, id: RequestId) -> bool {
         let exhausted = self.requests[&id]
             .relay
@@ -199,7 +200,7 @@
         !exhausted && now < self.requests[&id].deadline && self.retry_elsewhere(now, id)
     }
 
-    /// Leaves the endpoints that have said nothing about requests that another one may run as well.
+    /// Gives up on endpoints that stay silent about requests that another endpoint may run.
     pub(crate) fn leave_silent_endpoints(&mut self, now: Instant) {
         let silent = self
             .requests
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Ends a request whose time is over while it runs; what it used is still to be told.
+    /// Ends a request whose deadline passes while it runs. The end of the run still reports what it used.
     pub(crate) fn stop_relay(&mut self, id: RequestId) {
         let Some(terms) = self.requests[&id]
             .relay
@@ -236,7 +237,7 @@
 }
 
 impl Request {
-    /// Returns whether its endpoint has said nothing for so long that another one is likely to be sooner.
+    /// Returns whether its endpoint has been silent for so long that another one is likely to answer sooner.
     fn should_switch_endpoint(&self, now: Instant) -> bool {
         let Some(terms) = &self.relay else {
             return false;
@@ -245,7 +246,7 @@
         retryable && !terms.left && !terms.stopped && self.has_silent_endpoint(now)
     }
 
-    /// Returns whether it runs, and nothing came for much longer than its answer should take.
+    /// Returns whether it is running and its endpoint has been silent for much longer than an answer should take.
     pub(crate) fn has_silent_endpoint(&self, now: Instant) -> bool {
         let limit = self
             .relay
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Returns what a run of it needs, where it is passed on as it came.
+    /// Returns the additional data for a run, if the request is relayed.
     pub(crate) fn relay_run(&self) -> Option<RelayRun> {
         self.relay.as_ref().map(|terms| RelayRun {
             account: terms.account.clone(),
@@ -274,11 +275,12 @@
 }
 
 impl Terms {
-    /// Counts what a run gave its caller, and whether it may have run at all; `limit` is the most that an answer may have.
+    /// Counts the run if it may have taken place, and the tokens that it delivered; `limit` is the most that an answer
+    /// may have.
     ///
-    /// The prompt counts once however many runs read it, and only where something came of one of them. Charged for the
-    /// prompts of runs that failed, a team would be refused with a budget that it never used: with endpoints that fail
-    /// and callers that leave early, a thirtieth of all that was counted was of that kind.
+    /// The prompt counts once, however many runs read it, and only if one of them produced something. If teams were
+    /// charged for the prompts of failed runs, they would be refused although they never used their budget: with
+    /// failing endpoints and callers that disconnect early, such prompts made up a thirtieth of all tokens counted.
     fn record_run(&mut self, end: &RunEnd, limit: Tokens) {
         let delivered = match end {
             RunEnd::NotRun { .. } | RunEnd::Unsent => return,
@@ -287,7 +289,7 @@
                 .map(|usage| usage.answer)
                 .or(begun.then_some(Tokens::ZERO)),
             RunEnd::CallerGone { usage } => usage.map(|usage| usage.answer),
-            // Such an answer does not tell how many tokens it has.
+            // Such an answer does not report its number of tokens.
             RunEnd::Answered { status, .. } => is_success(*status).then_some(limit),
         };
         self.runs += 1;
@@ -306,19 +308,19 @@
 }
 
 fn public_account() -> AccountId {
-    PUBLIC_NAME.parse().expect("it is a name")
+    PUBLIC_NAME.parse().expect("the constant is a valid name")
 }
 
 fn public_team() -> TeamId {
-    PUBLIC_NAME.parse().expect("it is a name")
+    PUBLIC_NAME.parse().expect("the constant is a valid name")
 }
 
-/// Returns a key that no other request has: a request without a caller's key is none but itself.
+/// Returns a key that no other request has: a request without a caller's key is not a retry of any other.
 fn unique_key(id: RequestId) -> crate::ids::IdempotencyKey {
-    id.to_string().parse().expect("a number is a name")
+    id.to_string().parse().expect("a number is a valid key")
 }
 
-/// Returns the specification of a table's pool for those parts that know pools of documents.
+/// Returns a table's pools as the specifications that are used for pools of configuration documents.
 pub(crate) fn table_pools(
     table: &RouteTable,
 ) -> impl Iterator<Item = (PoolId, crate::config::PoolSpec)> {
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -1,4 +1,4 @@
-//! Runs: sending a claimed request to its endpoint, and billing what it used.
+//! Dispatches claimed requests to endpoints, and bills what their runs used.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -28,13 +28,13 @@
 use crate::router::request::Then;
 use crate::tokens::Tokens;
 
-/// When a caller whose endpoint failed may come back: the time that a failing endpoint takes to be ejected.
+/// When a caller whose endpoint failed may retry: the time it takes to eject a failing endpoint.
 pub(crate) const FAILURE_RETRY: Duration = Duration::from_secs(1);
 
-/// How long a request waits for budget that can't be drawn in a log outage: a short stutter of the log passes.
+/// How long a request waits for budget that cannot be drawn in a log outage. Short hiccups of the log are over by then.
 const FUNDING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many endpoints one request may be sent to: were it poison, it would take that many down.
+/// How many endpoints one request may be sent to. A request that crashes its endpoints takes down at most this many.
 const MAX_RUNS: usize = 3;
 
 impl Core {
@@ -67,7 +67,7 @@
         self.effects.push(Effect::Run(id, Box::new(run)));
     }
 
-    /// Takes note of the first token.
+    /// Records the arrival of the first token, or of the head of an answer.
     pub(crate) fn record_first_token(&mut self, now: Instant, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && let State::Running {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes the end of a run.
+    /// Handles the end of a run.
     pub(crate) fn handle_run_end(&mut self, now: Instant, id: RequestId, end: RunEnd) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -115,11 +115,11 @@
         }
     }
 
-    /// Bills a request; the caller gets what is left for it when the bill is durable.
+    /// Bills a request. Once the bill is durable, the caller gets what `then` says.
     fn bill(&mut self, id: RequestId, used: Tokens, outcome: Outcome, then: Then) {
         let request = &mut self.requests[&id];
-        // What broken runs used is the team's or the house's, as the deployment says; a bill never passes what was
-        // reserved, so the house bears the rest.
+        // Either the team or the operator (`House`) pays for broken runs, as the deployment specifies. A bill never
+        // exceeds the reservation, so the operator bears the remainder.
         let wasted = match request.bearer {
             Bearer::Team => request.wasted,
             Bearer::House => Tokens::ZERO,
@@ -142,7 +142,7 @@
         self.appender.push(record, ticket);
     }
 
-    /// Takes the fold's word on a bill.
+    /// Handles the ledger's verdict on a bill.
     pub(crate) fn bill_verdict(&mut self, now: Instant, id: RequestId, verdict: &Verdict) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -160,7 +160,8 @@
             (Verdict::Accepted, Then::Released | Then::Nothing) => {}
             (_, Then::Release) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
-                let detail = "the bill did not take effect; send it again to have it whole";
+                let detail =
+                    "the bill did not take effect; send the request again for the complete answer";
                 self.abort_answer(id, detail);
             }
             (_, Then::Released | Then::Nothing) => {
@@ -170,7 +171,7 @@
         self.finish(now, id);
     }
 
-    /// Tries another endpoint for a request that its endpoint did not run, or refuses it.
+    /// Retries a request on another endpoint after its endpoint did not run it, or refuses the request.
     fn retry_or_refuse(&mut self, now: Instant, id: RequestId, retry: Option<Duration>) {
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
@@ -181,16 +182,16 @@
             self.fail(id, Tokens::ZERO);
             return;
         }
-        let detail = "no endpoint took the request";
+        let detail = "no endpoint accepted the request";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
         let problem = problem.retry_in(retry.unwrap_or(FAILURE_RETRY));
         self.refuse_with(now, id, problem);
     }
 
-    /// Sends a request to another endpoint, if there is one and the retry budget allows it.
+    /// Sends a request to another endpoint, if one is available and the retry budget allows it.
     ///
-    /// When many endpoints fail, each retry adds load where there is least room for it; without the budget, retries
-    /// keep the rest down.
+    /// When many endpoints fail, each retry adds load where there is the least capacity for it. Without the budget,
+    /// retries would keep the remaining endpoints overloaded.
     pub(crate) fn retry_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
         let attempts = self.requests[&id].tried.len();
         if attempts >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
@@ -204,7 +205,7 @@
         true
     }
 
-    /// Takes a run whose endpoint failed after it had the request.
+    /// Handles a run whose endpoint failed after it had received the request.
     fn handle_broken_run(
         &mut self,
         now: Instant,
@@ -219,7 +220,7 @@
                 Bearer::Team => request.reserve,
                 Bearer::House => Tokens::ZERO,
             };
-            let detail = "the service had the call when its connection broke; ask the service whether it took effect";
+            let detail = "the connection broke after the service received the call; ask it whether it took effect";
             self.refuse_running(id, ProblemKind::OutcomeUnknown, detail);
             self.bill(id, charged, Outcome::Unknown, Then::Nothing);
             return;
@@ -235,9 +236,9 @@
         self.fail(id, used);
     }
 
-    /// Ends a request whose run failed and is not tried again; what it used is billed.
+    /// Ends a request whose run failed and is not retried, and bills what it used.
     fn fail(&mut self, id: RequestId, used: Tokens) {
-        self.abort_answer(id, "the endpoint failed before the answer was whole");
+        self.abort_answer(id, "the endpoint failed before the answer was complete");
         self.bill(id, used, Outcome::Cut, Then::Nothing);
     }
 
@@ -252,9 +253,9 @@
         self.effects.push(Effect::Cut(id, Box::new(problem)));
     }
 
-    /// Gives up a request that was dispatched when its caller was gone already.
+    /// Ends a request whose caller had already disconnected when it was dispatched.
     ///
-    /// No answer will come. Were its claim left standing, each retry would be told that the request is in progress.
+    /// There will be no answer. If its claim stayed open, every retry would be told that the request is in progress.
     fn handle_unsent_run(&mut self, now: Instant, id: RequestId) {
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Bills what a caller that went away had of its answer.
+    /// Bills what was generated for a caller before it disconnected.
     fn bill_disconnected(&mut self, id: RequestId, usage: Option<Usage>) {
         let request = &self.requests[&id];
         let (used, outcome) = match (&request.work, request.idempotent) {
@@ -272,13 +273,13 @@
                 let used = usage.map_or(request.reserve, Usage::total);
                 (used, Outcome::Cut)
             }
-            // It goes on at the service, and its price is its price.
+            // The call continues at the service and costs its full price.
             (Work::Call { .. } | Work::Relay(_), _) => (request.reserve, Outcome::Cut),
         };
         self.bill(id, used, outcome, Then::Nothing);
     }
 
-    /// Gives up a request that can't be billed any more.
+    /// Ends a request that can no longer be billed.
     pub(crate) fn abort_unbillable(&mut self, now: Instant, id: RequestId) {
         let released = matches!(
             self.requests[&id].state,
@@ -287,22 +288,21 @@
             }
         );
         if !released {
-            let detail =
-                "this router was taken for dead by the others, so the answer could not be billed";
+            let detail = "other routers closed this router as unresponsive, so the answer could not be billed";
             self.abort_answer(id, detail);
         }
         self.free_endpoint(now, id);
         self.finish(now, id);
     }
 
-    /// Takes a caller's going away before its answer began.
+    /// Handles a caller that disconnects before its answer begins.
     pub(crate) fn handle_disconnect(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         match &request.state {
-            // A call goes on without its caller: a retry is answered with its outcome. Whoever runs a completion, or
-            // finds that nobody does, says so next.
+            // A call continues without its caller, and a retry is answered with its outcome. For a completion, the
+            // end of its run follows: `CallerGone`, or `Unsent` if nobody sent it.
             State::Running { .. } => {}
             State::Billing { .. } => {
                 self.requests[&id].state = State::Billing {
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Takes a request out of whatever it waits in.
+    /// Removes a request from whatever it waits for.
     pub(crate) fn withdraw(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Lets a request go whose caller has its answer, once the ledger is done with it.
+    /// Drops a request whose caller needs nothing more, once the ledger holds no claim of it.
     pub(crate) fn abandon(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -346,7 +346,7 @@
         }
     }
 
-    /// Forgets a request.
+    /// Removes a request and releases what is held for it.
     pub(crate) fn finish(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.swap_remove(&id) else {
             return;
@@ -373,7 +373,7 @@
         self.recheck_contended(now);
     }
 
-    /// Ends requests that waited past their deadline, and runs those whose claims a log outage holds up.
+    /// Ends requests that waited past their deadline, and those that cannot proceed in a log outage.
     pub(crate) fn expire_requests(&mut self, now: Instant) {
         let outage = self.in_outage(now);
         let expired: Vec<_> = self
@@ -397,21 +397,21 @@
             State::Running { .. } if overdue => self.stop_relay(id),
             State::Contended if overdue => self.refuse_contended(now, id),
             State::Funding { .. } if overdue => {
-                let detail = "the wait for the team's budget outlasted the deadline";
+                let detail = "the deadline passed while the request waited for the team's budget";
                 self.refuse(now, id, ProblemKind::BudgetSpent, detail);
             }
             State::Queued if overdue => {
-                let detail = "the wait for an endpoint outlasted the deadline";
+                let detail = "the deadline passed while the request waited for an endpoint";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
             State::Funding { .. } if outage && now >= request.arrived + FUNDING_TIMEOUT => {
-                let detail = "the log service can't be reached, and this router holds too little of the budget";
+                let detail = "the log service is unreachable, and this router holds too little of the budget";
                 let instead = self.other_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.retry_in(OUTAGE_RETRY).go_to(instead));
             }
             State::Claiming { .. } if overdue => {
-                let detail = "the log service did not take the claim in time";
+                let detail = "the log service did not accept the claim in time";
                 self.refuse(now, id, ProblemKind::LogOutage, detail);
             }
             State::Claiming { .. } => self.expire_unclaimed(now, id),
