--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -61,7 +61,7 @@
         };
         let payer = table.payer(&arrival.bearer.0);
         if payer.is_none() && !route.public && table.payers().next().is_some() {
-            let detail = "the bearer key is unknown or no longer valid";
+            let detail = "the bearer key is none that is in force";
             return Err(self.deny(now, ProblemKind::Unauthorized, detail));
         }
         let payer = payer.filter(|_| !route.public);
@@ -170,7 +170,7 @@
                 if self.retry_relay(now, id) {
                     return;
                 }
-                let detail = "no endpoint accepted the request";
+                let detail = "no endpoint took the request";
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.retry_in(retry.unwrap_or(FAILURE_RETRY)));
             }
@@ -183,7 +183,7 @@
                 if retryable && self.retry_relay(now, id) {
                     return;
                 }
-                let detail = "the endpoint failed before the answer was complete";
+                let detail = "the endpoint failed before the answer was whole";
                 let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
                 self.effects.push(Effect::Cut(id, Box::new(problem)));
                 self.finish(now, id);
@@ -308,16 +308,16 @@
 }
 
 fn public_account() -> AccountId {
-    PUBLIC_NAME.parse().expect("the constant is a valid name")
+    PUBLIC_NAME.parse().expect("it is a name")
 }
 
 fn public_team() -> TeamId {
-    PUBLIC_NAME.parse().expect("the constant is a valid name")
+    PUBLIC_NAME.parse().expect("it is a name")
 }
 
 /// Returns a key that no other request has: a request without a caller's key is not a retry of any other.
 fn unique_key(id: RequestId) -> crate::ids::IdempotencyKey {
-    id.to_string().parse().expect("a number is a valid key")
+    id.to_string().parse().expect("a number is a name")
 }
 
 /// Returns a table's pools as the specifications that are used for pools of configuration documents.
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -160,8 +160,7 @@
             (Verdict::Accepted, Then::Released | Then::Nothing) => {}
             (_, Then::Release) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
-                let detail =
-                    "the bill did not take effect; send the request again for the complete answer";
+                let detail = "the bill did not take effect; send it again to have it whole";
                 self.abort_answer(id, detail);
             }
             (_, Then::Released | Then::Nothing) => {
@@ -182,7 +181,7 @@
             self.fail(id, Tokens::ZERO);
             return;
         }
-        let detail = "no endpoint accepted the request";
+        let detail = "no endpoint took the request";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
         let problem = problem.retry_in(retry.unwrap_or(FAILURE_RETRY));
         self.refuse_with(now, id, problem);
@@ -220,7 +219,7 @@
                 Bearer::Team => request.reserve,
                 Bearer::House => Tokens::ZERO,
             };
-            let detail = "the connection broke after the service received the call; ask it whether it took effect";
+            let detail = "the service had the call when its connection broke; ask the service whether it took effect";
             self.refuse_running(id, ProblemKind::OutcomeUnknown, detail);
             self.bill(id, charged, Outcome::Unknown, Then::Nothing);
             return;
@@ -238,7 +237,7 @@
 
     /// Ends a request whose run failed and is not retried, and bills what it used.
     fn fail(&mut self, id: RequestId, used: Tokens) {
-        self.abort_answer(id, "the endpoint failed before the answer was complete");
+        self.abort_answer(id, "the endpoint failed before the answer was whole");
         self.bill(id, used, Outcome::Cut, Then::Nothing);
     }
 
@@ -288,7 +287,8 @@
             }
         );
         if !released {
-            let detail = "other routers closed this router as unresponsive, so the answer could not be billed";
+            let detail =
+                "this router was taken for dead by the others, so the answer could not be billed";
             self.abort_answer(id, detail);
         }
         self.free_endpoint(now, id);
@@ -397,21 +397,21 @@
             State::Running { .. } if overdue => self.stop_relay(id),
             State::Contended if overdue => self.refuse_contended(now, id),
             State::Funding { .. } if overdue => {
-                let detail = "the deadline passed while the request waited for the team's budget";
+                let detail = "the wait for the team's budget outlasted the deadline";
                 self.refuse(now, id, ProblemKind::BudgetSpent, detail);
             }
             State::Queued if overdue => {
-                let detail = "the deadline passed while the request waited for an endpoint";
+                let detail = "the wait for an endpoint outlasted the deadline";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
             State::Funding { .. } if outage && now >= request.arrived + FUNDING_TIMEOUT => {
-                let detail = "the log service is unreachable, and this router holds too little of the budget";
+                let detail = "the log service can't be reached, and this router holds too little of the budget";
                 let instead = self.other_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.retry_in(OUTAGE_RETRY).go_to(instead));
             }
             State::Claiming { .. } if overdue => {
-                let detail = "the log service did not accept the claim in time";
+                let detail = "the log service did not take the claim in time";
                 self.refuse(now, id, ProblemKind::LogOutage, detail);
             }
             State::Claiming { .. } => self.expire_unclaimed(now, id),
