--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -137,7 +137,7 @@
             State::Running { .. } => {
                 // It was run during a log outage, and another router's claim came first: this run can't be billed.
                 warn!(event = "run-unbillable", request = %id);
-                self.lose(now, id);
+                self.abort_unbillable(now, id);
             }
             State::Abandoned => self.finish(now, id),
             _ => {}
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -293,19 +293,19 @@
     pub(crate) fn handle(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
             Event::Arrived(arrival) => self.handle_arrival(now, *arrival),
-            Event::HungUp(id) => self.hung_up(now, id),
-            Event::Started(id) => self.started(now, id),
-            Event::Ended(id, end) => self.ended(now, id, end),
+            Event::HungUp(id) => self.handle_disconnect(now, id),
+            Event::Started(id) => self.record_first_token(now, id),
+            Event::Ended(id, end) => self.handle_run_end(now, id, end),
             Event::Appended {
                 router,
                 sequence,
                 landed,
-            } => self.appended(now, router, sequence, landed),
+            } => self.handle_appended(now, router, sequence, landed),
             Event::LedgerEntries(entries) => self.fold_ledger(now, entries),
             Event::ConfigEntries(entries) => self.fold_config(now, entries),
             Event::LedgerGone => self.fetch_ledger(now),
             Event::Checkpointed { as_of, first } => self.checkpoint_written(as_of, first),
-            Event::CaughtUp => self.caught_up(now),
+            Event::CaughtUp => self.handle_caught_up(now),
             Event::LedgerSnapshot(ledger) => self.adopt_ledger(now, *ledger),
             Event::ConfigSnapshot(snapshot) => self.adopt_config(now, *snapshot),
             Event::VmList(list) => self.vm_list(now, list),
@@ -319,9 +319,9 @@
                 records,
             } => self.kept(now, peer, router, (last, records)),
             Event::Unkept(peer) => self.unkept(&peer),
-            Event::Checked(vm, passed) => self.endpoint_checked(now, &vm, passed),
-            Event::Load(vm, load) => self.endpoint_load(now, &vm, &load),
-            Event::Cache(vm, events) => self.endpoint_cache(&vm, &events),
+            Event::Checked(vm, passed) => self.handle_endpoint_check(now, &vm, passed),
+            Event::Load(vm, load) => self.handle_endpoint_load(now, &vm, &load),
+            Event::Cache(vm, events) => self.handle_cache_events(&vm, &events),
             Event::Admin(id, request) => self.admin(now, id, request),
             Event::Table(table) => self.apply_table(now, table),
             Event::DrainedDomains(drained) => self.take_drained(now, &drained),
@@ -329,7 +329,7 @@
             Event::TableUnsent(vm) => self.table_unsent(now, &vm),
             Event::TableConfirmed(at) => self.table_confirmed(now, at),
             Event::Grants(event) => self.handle_grant_event(now, event),
-            Event::Reads(reading) => self.reads(now, &reading),
+            Event::Reads(reading) => self.record_peer_prompt(now, &reading),
             Event::Given(id, gift) => self.accept_gift(id, &gift),
             Event::Taken(gift, taken) => self.funds.finish_transfer(&gift, taken),
             Event::LoanAsked(id, ask) => self.handle_loan_ask(now, id, &ask),
@@ -430,7 +430,7 @@
     /// Does what time asks for where budgets are kept by grants.
     fn tick_grants(&mut self, now: Instant, tuning: GrantTuning) {
         self.expire_requests(now);
-        self.leave_silent(now);
+        self.leave_silent_endpoints(now);
         self.beat(now);
         self.fetch_table(now);
         self.tick_pools(now);
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -1,4 +1,4 @@
-//! Picking one of a pool's endpoints for a request.
+//! Picks one of a pool's endpoints for a request.
 
 use std::time::Instant;
 
@@ -21,20 +21,20 @@
 use crate::router::event::Work;
 use crate::router::request::Request;
 
-/// What a choice among a pool's endpoints rests on.
+/// The state by which one of a pool's endpoints is chosen.
 pub(crate) struct Picker {
     pub(crate) chooser: Chooser,
     pub(crate) index: PrefixIndex,
     pub(crate) health: Ejector,
 }
 
-/// Where the choice is made.
-pub(crate) struct Site<'a> {
-    /// The router's VM.
+/// The router for which an endpoint is picked.
+pub(crate) struct PickContext<'a> {
+    /// VM of the router.
     pub(crate) router: &'a VmId,
-    /// Its failure domain.
+    /// Failure domain of the router.
     pub(crate) domain: &'a DomainId,
-    /// All routers' VMs.
+    /// VMs of all routers.
     pub(crate) routers: &'a [VmId],
 }
 
@@ -47,27 +47,28 @@
         }
     }
 
-    /// Picks an endpoint: one that the quarantine has nothing against, or else one that it does not forbid.
+    /// Picks an endpoint that is not forbidden. One that the quarantine advises against is picked only if no other is
+    /// available.
     pub(crate) fn pick<R>(
         &self,
         now: Instant,
         request: &Request,
         usage: Usage,
         quarantine: &Quarantine,
-        site: &Site<'_>,
+        context: &PickContext<'_>,
         rng: &mut R,
     ) -> Option<Choice>
     where
         R: Rng,
     {
-        let blocks = blocks(request);
-        let forbidden = self.forbidden(request, quarantine, site);
+        let blocks = prompt_blocks(request);
+        let forbidden = self.forbidden(request, quarantine, context);
         let avoided = quarantine.avoided_endpoints(request.fingerprint);
         let mut choose = |excluded: &[VmId]| {
             let wish = Criteria {
-                model: model(request),
+                model: requested_model(request),
                 prefix: &blocks,
-                domain: site.domain,
+                domain: context.domain,
                 excluded,
                 usage,
                 prompt: request.relay.as_ref().and_then(|terms| terms.prompt),
@@ -88,16 +89,21 @@
         choose(&[request.failed_endpoints.clone(), forbidden].concat())
     }
 
-    /// Returns the endpoints that a suspect must keep off: those where another suspect runs, and those where another
-    /// router's may.
-    fn forbidden(&self, request: &Request, quarantine: &Quarantine, site: &Site<'_>) -> Vec<VmId> {
+    /// Returns the endpoints that a suspect must not use: those where another suspect runs, and those that belong to
+    /// other routers for running their suspects.
+    fn forbidden(
+        &self,
+        request: &Request,
+        quarantine: &Quarantine,
+        context: &PickContext<'_>,
+    ) -> Vec<VmId> {
         if quarantine.isolation(request.fingerprint) == Isolation::None {
             return Vec::new();
         }
-        let mine = |vm: &VmId| suspect_router(site.routers, vm) == Some(site.router);
-        let (owned, others): (Vec<_>, Vec<_>) = self.chooser.vms().cloned().partition(mine);
+        let is_own = |vm: &VmId| suspect_router(context.routers, vm) == Some(context.router);
+        let (owned, others): (Vec<_>, Vec<_>) = self.chooser.vms().cloned().partition(is_own);
         let mut forbidden = quarantine.forbidden_endpoints(request.fingerprint);
-        // With fewer endpoints than routers some router owns none, and its suspects run where they can.
+        // With fewer endpoints than routers, some routers own none, and their suspects may use any other endpoint.
         if !owned.is_empty() {
             forbidden.extend(others);
         }
@@ -105,15 +111,15 @@
     }
 }
 
-fn model(request: &Request) -> Option<&ModelId> {
+fn requested_model(request: &Request) -> Option<&ModelId> {
     match &request.work {
         Work::Completion { model, .. } => Some(model),
         Work::Call { .. } | Work::Relay(_) => None,
     }
 }
 
-/// Returns the blocks of a request's prompt.
-pub(crate) fn blocks(request: &Request) -> Vec<BlockHash> {
+/// Returns the block hashes of a request's prompt.
+pub(crate) fn prompt_blocks(request: &Request) -> Vec<BlockHash> {
     match &request.work {
         Work::Completion { blocks, .. } => blocks.iter().map(|b| BlockHash(*b)).collect(),
         Work::Call { .. } | Work::Relay(_) => Vec::new(),
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -1,4 +1,4 @@
-//! A pool's endpoints, and the requests that are on their way to them.
+//! Pools of endpoints, and the assignment of requests to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,22 +30,22 @@
 use crate::router::effect::Effect;
 use crate::router::event::EndpointLoad;
 use crate::router::event::RunEnd;
+use crate::router::picker::PickContext;
 use crate::router::picker::Picker;
-use crate::router::picker::Site;
-use crate::router::picker::blocks;
+use crate::router::picker::prompt_blocks;
 use crate::router::relay::table_pools;
 use crate::router::request::State;
 use crate::vms::VmEntry;
 use crate::vms::VmState;
 
-/// How often an endpoint is asked for its load and its cache's events.
-const PROBE: Duration = Duration::from_secs(1);
+/// How often an endpoint is asked for its load and its cache events.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The label that says how many requests an endpoint runs at once.
-const SLOTS: &str = "slots";
+/// The label for the number of requests that an endpoint runs at once.
+const SLOTS_LABEL: &str = "slots";
 
-/// The label that tells an endpoint's lives apart, where it may come back under its name.
-pub(crate) const BORN: &str = "born";
+/// The label that changes when an endpoint restarts under the same name.
+pub(crate) const BORN_LABEL: &str = "born";
 
 /// A pool's endpoints and its queue.
 pub(crate) struct Pool {
@@ -53,16 +53,16 @@
     pub(crate) queue: FairQueue<RequestId>,
     pub(crate) places: IndexMap<RequestId, WaitingId>,
     pub(crate) addresses: IndexMap<VmId, SocketAddr>,
-    /// When the life of each endpoint began, if it says so.
-    lives: IndexMap<VmId, Option<String>>,
-    /// The models that each endpoint last said it has.
-    pub(crate) loaded: IndexMap<VmId, Vec<ModelId>>,
+    /// Value of each endpoint's `born` label, if it has one.
+    births: IndexMap<VmId, Option<String>>,
+    /// The models that each endpoint last reported as loaded.
+    pub(crate) loaded_models: IndexMap<VmId, Vec<ModelId>>,
     /// The failure domain of each endpoint.
     domains: IndexMap<VmId, DomainId>,
     /// Whether all endpoints are in drained failure domains.
-    drained: bool,
-    engines: bool,
-    probed: Option<Instant>,
+    all_drained: bool,
+    is_engine: bool,
+    last_probe: Option<Instant>,
 }
 
 impl Pool {
@@ -72,16 +72,16 @@
             queue: FairQueue::new(length, rng),
             places: IndexMap::new(),
             addresses: IndexMap::new(),
-            lives: IndexMap::new(),
-            loaded: IndexMap::new(),
+            births: IndexMap::new(),
+            loaded_models: IndexMap::new(),
             domains: IndexMap::new(),
-            drained: false,
-            engines: false,
-            probed: None,
+            all_drained: false,
+            is_engine: false,
+            last_probe: None,
         }
     }
 
-    /// Brings the endpoints in line with the configuration and the VM list.
+    /// Updates the endpoints to match the configuration and the VM list.
     fn refresh(
         &mut self,
         now: Instant,
@@ -94,7 +94,7 @@
             PoolKind::Engine { models, .. } => models,
             PoolKind::Service { .. } => &[],
         };
-        self.engines = matches!(spec.kind, PoolKind::Engine { .. });
+        self.is_engine = matches!(spec.kind, PoolKind::Engine { .. });
         let listed: Vec<_> = vms
             .iter()
             .filter(|entry| spec.select.matches(&entry.labels))
@@ -106,20 +106,23 @@
             .cloned()
             .collect();
         for vm in gone {
-            self.forget(&vm);
+            self.remove_endpoint(&vm);
         }
         for entry in &listed {
-            let life = entry.labels.get(BORN).map(str::to_owned);
-            let known = self.lives.get(&entry.vm);
+            let life = entry.labels.get(BORN_LABEL).map(str::to_owned);
+            let known = self.births.get(&entry.vm);
             if known.is_some_and(|known| *known != life) {
                 info!(event = "reborn", endpoint = %entry.vm, life);
-                self.forget(&entry.vm);
+                self.remove_endpoint(&entry.vm);
             }
-            self.lives.insert(entry.vm.clone(), life);
+            self.births.insert(entry.vm.clone(), life);
         }
         for entry in listed {
             let vm = &entry.vm;
-            let slots = entry.labels.get(SLOTS).and_then(|slots| slots.parse().ok());
+            let slots = entry
+                .labels
+                .get(SLOTS_LABEL)
+                .and_then(|slots| slots.parse().ok());
             let limit = slots.unwrap_or(spec.concurrency);
             self.picker.chooser.put(vm, &entry.domain, models, limit);
             if fixed {
@@ -133,13 +136,13 @@
             self.domains.insert(vm.clone(), entry.domain.clone());
         }
         let mut domains = self.domains.values();
-        self.drained =
+        self.all_drained =
             !self.domains.is_empty() && domains.all(|domain| drained.domains.contains(domain));
     }
 
     /// Returns whether all endpoints are in drained failure domains.
     pub(crate) fn is_drained(&self) -> bool {
-        self.drained
+        self.all_drained
     }
 
     /// Returns the endpoints in a failure domain.
@@ -150,19 +153,19 @@
 }
 
 impl Pool {
-    /// Forgets an endpoint that is gone, or of which a new life knows nothing of what it had read and how it was.
-    fn forget(&mut self, vm: &VmId) {
+    /// Removes an endpoint that is gone, or that restarted, so that its cached prompts and its health no longer apply.
+    fn remove_endpoint(&mut self, vm: &VmId) {
         self.addresses.shift_remove(vm);
         self.domains.shift_remove(vm);
-        self.lives.shift_remove(vm);
-        self.loaded.shift_remove(vm);
+        self.births.shift_remove(vm);
+        self.loaded_models.shift_remove(vm);
         self.picker.chooser.remove(vm);
         self.picker.health.remove(vm);
     }
 }
 
 impl Core {
-    /// Brings all pools in line with the configuration and the VM list.
+    /// Updates all pools to match the configuration and the VM list.
     pub(crate) fn rebuild_pools(&mut self, now: Instant) {
         let specs: Vec<_> = self
             .config
@@ -189,14 +192,14 @@
         self.serve_all_queues(now);
     }
 
-    /// Returns where an endpoint listens.
+    /// Returns the address at which an endpoint listens.
     pub(crate) fn endpoint_address(&self, pool: &PoolId, endpoint: &VmId) -> Option<String> {
         let address = self.pools.get(pool)?.addresses.get(endpoint)?;
         Some(address.to_string())
     }
 
-    /// Takes the next request that an endpoint has room for out of a queue.
-    pub(crate) fn next_with_room(
+    /// Removes from a pool's queue the next request for which an endpoint has capacity.
+    pub(crate) fn pop_dispatchable(
         &mut self,
         now: Instant,
         name: &PoolId,
@@ -220,24 +223,24 @@
             let Some(request) = requests.get(id) else {
                 return false;
             };
-            let site = Site {
+            let context = PickContext {
                 router: &tuning.vm,
                 domain: &tuning.domain,
                 routers: &routers,
             };
-            chosen = picker.pick(now, request, usage, quarantine, &site, rng);
+            chosen = picker.pick(now, request, usage, quarantine, &context, rng);
             chosen.is_some()
         })?;
         pool.places.swap_remove(&id);
         Some((id, chosen?))
     }
 
-    /// Picks another endpoint for a request whose run failed, and counts the request there.
+    /// Picks another endpoint for a request whose run failed, and assigns the request to it.
     pub(crate) fn pick_endpoint(&mut self, now: Instant, id: RequestId) -> Option<VmId> {
         let routers = self.members.roster.serving();
         let request = self.requests.get(&id)?;
         let pool = self.pools.get(&request.pool)?;
-        let site = Site {
+        let context = PickContext {
             router: &self.tuning.vm,
             domain: &self.tuning.domain,
             routers: &routers,
@@ -247,31 +250,31 @@
             request,
             Usage::Heavy,
             &self.quarantine,
-            &site,
+            &context,
             &mut self.rng,
         )?;
-        self.enter_endpoint(now, id, &choice);
+        self.assign_endpoint(now, id, &choice);
         Some(choice.endpoint)
     }
 
-    /// Counts a request at the endpoint that was chosen for it.
-    pub(crate) fn enter_endpoint(&mut self, now: Instant, id: RequestId, choice: &Choice) {
+    /// Assigns a request to the endpoint that was chosen for it.
+    pub(crate) fn assign_endpoint(&mut self, now: Instant, id: RequestId, choice: &Choice) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         self.quarantine.start(request.fingerprint, &choice.endpoint);
         if let Some(pool) = self.pools.get_mut(&request.pool) {
-            let blocks = blocks(request);
+            let blocks = prompt_blocks(request);
             pool.picker.chooser.start(now, &choice.endpoint);
             pool.picker.index.record_cached(&choice.endpoint, &blocks);
         }
-        self.send_prompt(now, id, choice);
+        self.record_prompt(now, id, choice);
     }
 
-    /// Takes a request off its endpoint, whose run ended.
-    pub(crate) fn leave_endpoint(&mut self, now: Instant, id: RequestId, end: &RunEnd) {
+    /// Removes a request whose run ended from its endpoint, and records the result.
+    pub(crate) fn record_run_result(&mut self, now: Instant, id: RequestId, end: &RunEnd) {
         let request = &mut self.requests[&id];
-        let silent = request.is_silent(now);
+        let silent = request.has_silent_endpoint(now);
         let State::Running {
             endpoint,
             since,
@@ -281,17 +284,17 @@
             return;
         };
         let endpoint = endpoint.clone();
-        let waited = first_token.map(|at| at - *since);
-        let time = waited.unwrap_or(now - *since);
+        let first_token = first_token.map(|at| at - *since);
+        let latency = first_token.unwrap_or(now - *since);
         let (sample, evidence) = match end {
             RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
-                (Sample::Answered(time), Some(Observation::Answered(time)))
+                (Sample::Answered(latency), Some(Observation::Answered(latency)))
             }
             RunEnd::NotRun { retry: Some(_) } => (Sample::Refused, None),
             RunEnd::NotRun { .. } | RunEnd::Broken { .. } => {
                 (Sample::Other, Some(Observation::Failed))
             }
-            // A caller that gave up on an endpoint's silence tells of the endpoint, one that left early does not.
+            // A caller that gave up on a silent endpoint counts against the endpoint; one that left early does not.
             RunEnd::CallerGone { .. } if silent => (Sample::Other, Some(Observation::Failed)),
             RunEnd::CallerGone { .. } | RunEnd::Unsent => (Sample::Other, None),
         };
@@ -303,7 +306,7 @@
             RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
                 self.quarantine.complete(fingerprint, &endpoint);
             }
-            RunEnd::Broken { died: true, .. } => self.endpoint_died(now, &endpoint),
+            RunEnd::Broken { died: true, .. } => self.record_crash(now, &endpoint),
             _ => self.quarantine.end(fingerprint, &endpoint),
         }
         let request = &self.requests[&id];
@@ -319,7 +322,7 @@
         self.serve_queue(now, &pool);
     }
 
-    /// Takes a request off its endpoint, which it never reached or whose run is of no more use.
+    /// Removes a request from an endpoint that it never reached, or where its run is no longer of use.
     pub(crate) fn free_endpoint(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -332,8 +335,8 @@
         }
     }
 
-    /// Takes in an endpoint's report of its load.
-    pub(crate) fn endpoint_load(&mut self, now: Instant, vm: &VmId, load: &EndpointLoad) {
+    /// Records an endpoint's load report.
+    pub(crate) fn handle_endpoint_load(&mut self, now: Instant, vm: &VmId, load: &EndpointLoad) {
         for pool in self.pools.values_mut() {
             let report = Load {
                 running: load.running,
@@ -342,14 +345,14 @@
             };
             pool.picker.chooser.report(now, vm, report);
             if pool.addresses.contains_key(vm) {
-                pool.loaded.insert(vm.clone(), load.models.clone());
+                pool.loaded_models.insert(vm.clone(), load.models.clone());
             }
         }
         self.serve_all_queues(now);
     }
 
-    /// Takes in an endpoint's news of its prefix cache.
-    pub(crate) fn endpoint_cache(&mut self, vm: &VmId, events: &[CacheEvent]) {
+    /// Applies an endpoint's prefix cache events to the index.
+    pub(crate) fn handle_cache_events(&mut self, vm: &VmId, events: &[CacheEvent]) {
         for pool in self.pools.values_mut() {
             if !pool.addresses.contains_key(vm) {
                 continue;
@@ -360,14 +363,14 @@
         }
     }
 
-    /// Refuses what waited too long, fills what has room, and asks endpoints how they are.
+    /// Refuses requests that waited too long, fills endpoints that have capacity, and probes engines.
     pub(crate) fn tick_pools(&mut self, now: Instant) {
         self.expire_queues(now);
         self.serve_all_queues(now);
         let mut probes = Vec::new();
-        for pool in self.pools.values_mut().filter(|pool| pool.engines) {
-            if pool.probed.is_none_or(|at| now >= at + PROBE) {
-                pool.probed = Some(now);
+        for pool in self.pools.values_mut().filter(|pool| pool.is_engine) {
+            if pool.last_probe.is_none_or(|at| now >= at + PROBE_INTERVAL) {
+                pool.last_probe = Some(now);
                 probes.extend(pool.addresses.clone());
             }
         }
@@ -376,8 +379,8 @@
         }
     }
 
-    /// Takes note of a check of an endpoint.
-    pub(crate) fn endpoint_checked(&mut self, now: Instant, vm: &VmId, passed: bool) {
+    /// Records the result of an endpoint's health check.
+    pub(crate) fn handle_endpoint_check(&mut self, now: Instant, vm: &VmId, passed: bool) {
         if !passed {
             info!(event = "endpoint-check-failed", endpoint = %vm);
         }
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -64,8 +64,8 @@
 
     /// Claims a pool's queued requests while endpoints have room for them.
     pub(crate) fn serve_queue(&mut self, now: Instant, name: &PoolId) {
-        while let Some((id, choice)) = self.next_with_room(now, name) {
-            self.enter_endpoint(now, id, &choice);
+        while let Some((id, choice)) = self.pop_dispatchable(now, name) {
+            self.assign_endpoint(now, id, &choice);
             self.claim(now, id, choice.endpoint);
         }
     }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -1,5 +1,5 @@
-//! Requests that are passed on as they came: without a key of the caller's, each is one attempt and ends with its
-//! connection.
+//! Relayed requests, which are forwarded unchanged. Without a key from the caller, each is a single attempt and ends
+//! with its connection.
 
 use std::time::Instant;
 
@@ -30,18 +30,18 @@
 use crate::router::request::Request;
 use crate::router::request::Reservation;
 use crate::router::request::State;
-use crate::router::run::FAILED_RETRY;
+use crate::router::run::FAILURE_RETRY;
 use crate::tokens::Tokens;
 
-/// How many times its objective an endpoint may be silent about a request. Few answers that come at all take longer than
-/// twice theirs, and with three times there is still time for another endpoint within the caller's patience.
-const SILENT: f64 = 2.5;
+/// How many times a request's latency objective its endpoint may stay silent. Few answers that come at all take longer
+/// than twice the objective, and even three times leaves time to try another endpoint before the caller gives up.
+const SILENCE_FACTOR: f64 = 2.5;
 
-/// Names the account and the team of requests that need no bearer key; no budget is kept for it.
-const PUBLIC: &str = "public";
+/// Account and team name of requests that need no bearer key. No budget is kept for it.
+const PUBLIC_NAME: &str = "public";
 
 impl Core {
-    /// Decides on a request that is to be passed on as it came.
+    /// Admits or refuses a request that is to be relayed.
     pub(crate) fn admit_relay(
         &mut self,
         now: Instant,
@@ -67,20 +67,20 @@
         let payer = payer.filter(|_| !route.public);
         let account = payer.map(|payer| payer.account.clone());
         let team = payer.map_or_else(public_team, |payer| payer.team.clone());
-        let pool = self.draw_pool(route);
+        let pool = self.pick_pool(route);
         let stride = table.pool(&pool).map_or(1, |pool| pool.stride);
         let wait = arrival
             .patience
             .unwrap_or(self.tuning.patience)
             .min(route.timeout);
-        if !self.takes_until(now, now + wait) {
+        if !self.accepts_until(now, now + wait) {
             return Err(self.not_serving());
         }
         let owner = account.clone().unwrap_or_else(public_account);
         Ok(Request {
             key: RequestKey {
                 account: owner,
-                key: own_key(arrival.id),
+                key: unique_key(arrival.id),
             },
             attempt: arrival.attempt,
             fingerprint: arrival.request,
@@ -120,11 +120,12 @@
         })
     }
 
-    /// Returns whether a new request is taken that may last until a deadline.
+    /// Returns whether a new request is accepted that may last until a deadline.
     ///
-    /// Callers keep an address for seconds after the router began to leave, and are served that long. What comes later and
-    /// may outlast the grace time would be cut off by its end, while at another router it is served whole.
-    fn takes_until(&self, now: Instant, deadline: Instant) -> bool {
+    /// Callers keep an address for seconds after the router has started to drain, and are served that long. Later
+    /// requests that may outlast the grace period would be cut off at its end, while another router can serve them
+    /// completely.
+    fn accepts_until(&self, now: Instant, deadline: Instant) -> bool {
         match (self.phase, self.tuning.accounting) {
             (Phase::Serving, _) => true,
             (Phase::Draining { since, .. }, Accounting::Grants(tuning)) => {
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Draws one of a route's pools by weight.
-    fn draw_pool(&mut self, route: &PathRoute) -> PoolId {
+    /// Picks one of a route's pools at random, by weight.
+    fn pick_pool(&mut self, route: &PathRoute) -> PoolId {
         let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
         let mut at = self.rng.random_range(0..total.max(1));
         for (pool, weight) in &route.split {
@@ -147,13 +148,13 @@
         route.split[0].0.clone()
     }
 
-    /// Takes the end of a run of a request that is passed on as it came.
-    pub(crate) fn relay_ended(&mut self, now: Instant, id: RequestId, end: RunEnd) {
+    /// Handles the end of a relayed request's run.
+    pub(crate) fn handle_relay_end(&mut self, now: Instant, id: RequestId, end: RunEnd) {
         let request = &mut self.requests[&id];
         let limit = request.limit;
         let repeat = match &mut request.relay {
             Some(terms) => {
-                terms.count(&end, limit);
+                terms.record_run(&end, limit);
                 terms.repeat
             }
             None => return,
@@ -166,20 +167,20 @@
             RunEnd::Unsent => self.finish(now, id),
             _ if stopped => self.finish(now, id),
             RunEnd::NotRun { retry } => {
-                if self.relay_elsewhere(now, id) {
+                if self.retry_relay(now, id) {
                     return;
                 }
                 let detail = "no endpoint took the request";
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-                self.refuse_with(now, id, problem.with_retry(retry.unwrap_or(FAILED_RETRY)));
+                self.refuse_with(now, id, problem.with_retry(retry.unwrap_or(FAILURE_RETRY)));
             }
             RunEnd::Broken { begun, .. } => {
-                let again = match repeat {
+                let retryable = match repeat {
                     Repeat::Never => false,
                     Repeat::Whole => !begun,
                     Repeat::Resume => true,
                 };
-                if again && self.relay_elsewhere(now, id) {
+                if retryable && self.retry_relay(now, id) {
                     return;
                 }
                 let detail = "the endpoint failed before the answer was whole";
@@ -190,18 +191,21 @@
         }
     }
 
-    /// Sends a request to another endpoint, where its route's attempts and the retry budget allow it.
-    fn relay_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
-        let spent = self.requests[&id]
+    /// Sends a request to another endpoint, if its route's attempts and the retry budget allow it.
+    fn retry_relay(&mut self, now: Instant, id: RequestId) -> bool {
+        let exhausted = self.requests[&id]
             .relay
             .as_ref()
             .is_some_and(|terms| terms.runs >= terms.attempts);
-        !spent && now < self.requests[&id].deadline && self.try_elsewhere(now, id)
+        !exhausted && now < self.requests[&id].deadline && self.retry_elsewhere(now, id)
     }
 
-    /// Leaves the endpoints that have said nothing about requests that another one may run as well.
-    pub(crate) fn leave_silent(&mut self, now: Instant) {
-        let silent = self.requests.iter().filter(|(_, r)| r.may_leave(now));
+    /// Gives up on endpoints that stay silent about requests that another endpoint may run.
+    pub(crate) fn leave_silent_endpoints(&mut self, now: Instant) {
+        let silent = self
+            .requests
+            .iter()
+            .filter(|(_, r)| r.should_switch_endpoint(now));
         let silent: Vec<_> = silent.map(|(id, _)| *id).collect();
         for id in silent {
             if !self.retries.has_retry(now) {
@@ -215,7 +219,7 @@
         }
     }
 
-    /// Ends a request whose time is over while it runs; what it used is still to be told.
+    /// Ends a request whose deadline passes while it runs. The end of the run still reports what it used.
     pub(crate) fn stop_relay(&mut self, id: RequestId) {
         let Some(terms) = self.requests[&id]
             .relay
@@ -233,21 +237,21 @@
 }
 
 impl Request {
-    /// Returns whether its endpoint has said nothing for so long that another one is likely to be sooner.
-    fn may_leave(&self, now: Instant) -> bool {
+    /// Returns whether its endpoint has been silent for so long that another one is likely to answer sooner.
+    fn should_switch_endpoint(&self, now: Instant) -> bool {
         let Some(terms) = &self.relay else {
             return false;
         };
-        let again = terms.repeat != Repeat::Never && terms.runs + 1 < terms.attempts;
-        again && !terms.timed_out && !terms.stopped && self.is_silent(now)
+        let retryable = terms.repeat != Repeat::Never && terms.runs + 1 < terms.attempts;
+        retryable && !terms.timed_out && !terms.stopped && self.has_silent_endpoint(now)
     }
 
-    /// Returns whether it runs, and nothing came for much longer than its answer should take.
-    pub(crate) fn is_silent(&self, now: Instant) -> bool {
+    /// Returns whether it is running and its endpoint has been silent for much longer than an answer should take.
+    pub(crate) fn has_silent_endpoint(&self, now: Instant) -> bool {
         let limit = self
             .relay
             .as_ref()
-            .map(|terms| terms.objective.mul_f64(SILENT));
+            .map(|terms| terms.objective.mul_f64(SILENCE_FACTOR));
         match (&self.state, limit) {
             (
                 State::Running {
@@ -261,7 +265,7 @@
         }
     }
 
-    /// Returns what a run of it needs, where it is passed on as it came.
+    /// Returns the additional data for a run, if the request is relayed.
     pub(crate) fn relay_run(&self) -> Option<RelayRun> {
         self.relay.as_ref().map(|terms| RelayRun {
             account: terms.account.clone(),
@@ -273,24 +277,25 @@
 }
 
 impl RelayTerms {
-    /// Counts what a run gave its caller, and whether it may have run at all; `limit` is the most that an answer may have.
+    /// Counts the run if it may have taken place, and the tokens that it delivered; `limit` is the most that an answer
+    /// may have.
     ///
-    /// The prompt counts once however many runs read it, and only where something came of one of them. Charged for the
-    /// prompts of runs that failed, a team would be refused with a budget that it never used: with endpoints that fail
-    /// and callers that leave early, a thirtieth of all that was counted was of that kind.
-    fn count(&mut self, end: &RunEnd, limit: Tokens) {
-        let given = match end {
+    /// The prompt counts once, however many runs read it, and only if one of them produced something. If teams were
+    /// charged for the prompts of failed runs, they would be refused although they never used their budget: with
+    /// failing endpoints and callers that disconnect early, such prompts made up a thirtieth of all tokens counted.
+    fn record_run(&mut self, end: &RunEnd, limit: Tokens) {
+        let delivered = match end {
             RunEnd::NotRun { .. } | RunEnd::Unsent => return,
             RunEnd::Whole { usage } => Some(usage.answer),
             RunEnd::Broken { usage, begun, .. } => usage
                 .map(|usage| usage.answer)
                 .or(begun.then_some(Tokens::ZERO)),
             RunEnd::CallerGone { usage } => usage.map(|usage| usage.answer),
-            // Such an answer does not tell how many tokens it has.
+            // Such an answer does not report its number of tokens.
             RunEnd::Answered { status, .. } => is_success(*status).then_some(limit),
         };
         self.runs += 1;
-        let Some(answer) = given else {
+        let Some(answer) = delivered else {
             return;
         };
         if self.used == Tokens::ZERO {
@@ -305,19 +310,19 @@
 }
 
 fn public_account() -> AccountId {
-    PUBLIC.parse().expect("it is a name")
+    PUBLIC_NAME.parse().expect("it is a name")
 }
 
 fn public_team() -> TeamId {
-    PUBLIC.parse().expect("it is a name")
+    PUBLIC_NAME.parse().expect("it is a name")
 }
 
-/// Returns a key that no other request has: a request without a caller's key is none but itself.
-fn own_key(id: RequestId) -> crate::ids::IdempotencyKey {
+/// Returns a key that no other request has: a request without a caller's key is not a retry of any other.
+fn unique_key(id: RequestId) -> crate::ids::IdempotencyKey {
     id.to_string().parse().expect("a number is a name")
 }
 
-/// Returns the specification of a table's pool for those parts that know pools of documents.
+/// Returns a table's pools as the specifications that are used for pools of configuration documents.
 pub(crate) fn table_pools(
     table: &RouteTable,
 ) -> impl Iterator<Item = (PoolId, crate::config::PoolSpec)> {
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -1,4 +1,4 @@
-//! Runs: sending a claimed request to its endpoint, and billing what it used.
+//! Dispatches claimed requests to endpoints, and bills what their runs used.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -28,13 +28,13 @@
 use crate::router::request::State;
 use crate::tokens::Tokens;
 
-/// When a caller whose endpoint failed may come back: the time that a failing endpoint takes to be ejected.
-pub(crate) const FAILED_RETRY: Duration = Duration::from_secs(1);
+/// When a caller whose endpoint failed may retry: the time it takes to eject a failing endpoint.
+pub(crate) const FAILURE_RETRY: Duration = Duration::from_secs(1);
 
-/// How long a request waits for budget that can't be drawn in a log outage: a short stutter of the log passes.
-const FUNDING_OUTAGE: Duration = Duration::from_secs(2);
+/// How long a request waits for budget that cannot be drawn in a log outage. Short hiccups of the log are over by then.
+const FUNDING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many endpoints one request may be sent to: were it poison, it would take that many down.
+/// How many endpoints one request may be sent to. A request that crashes its endpoints takes down at most this many.
 const MAX_RUNS: usize = 3;
 
 impl Core {
@@ -42,7 +42,7 @@
     pub(crate) fn dispatch(&mut self, now: Instant, id: RequestId, endpoint: VmId) {
         let Some(address) = self.endpoint_address(&self.requests[&id].pool, &endpoint) else {
             self.free_endpoint(now, id);
-            self.not_run(now, id, None);
+            self.retry_or_refuse(now, id, None);
             return;
         };
         let request = &mut self.requests[&id];
@@ -67,8 +67,8 @@
         self.effects.push(Effect::Run(id, Box::new(run)));
     }
 
-    /// Takes note of the first token.
-    pub(crate) fn started(&mut self, now: Instant, id: RequestId) {
+    /// Records the arrival of the first token, or of the head of an answer.
+    pub(crate) fn record_first_token(&mut self, now: Instant, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && let State::Running {
                 first_token,
@@ -80,12 +80,12 @@
                 info!(event = "first", request = %id, %endpoint, took_ms = (now - *since).as_millis());
             }
             first_token.get_or_insert(now);
-            self.prompt_read(now, id);
+            self.record_prompt_read(now, id);
         }
     }
 
-    /// Takes the end of a run.
-    pub(crate) fn ended(&mut self, now: Instant, id: RequestId, end: RunEnd) {
+    /// Handles the end of a run.
+    pub(crate) fn handle_run_end(&mut self, now: Instant, id: RequestId, end: RunEnd) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -95,9 +95,9 @@
         let price = request.reserve;
         let relay = request.relay.is_some();
         info!(event = "run-ended", request = %id, end = end.name());
-        self.leave_endpoint(now, id, &end);
+        self.record_run_result(now, id, &end);
         if relay {
-            self.relay_ended(now, id, end);
+            self.handle_relay_end(now, id, end);
             return;
         }
         match end {
@@ -108,18 +108,18 @@
                 let outcome = Outcome::Answered { status, body };
                 self.bill(id, price, outcome, AnswerEnd::Withheld);
             }
-            RunEnd::NotRun { retry } => self.not_run(now, id, retry),
-            RunEnd::Broken { usage, begun, .. } => self.broken(now, id, usage, begun),
-            RunEnd::CallerGone { usage } => self.caller_gone(id, usage),
-            RunEnd::Unsent => self.unsent(now, id),
+            RunEnd::NotRun { retry } => self.retry_or_refuse(now, id, retry),
+            RunEnd::Broken { usage, begun, .. } => self.handle_broken_run(now, id, usage, begun),
+            RunEnd::CallerGone { usage } => self.bill_disconnected(id, usage),
+            RunEnd::Unsent => self.handle_unsent_run(now, id),
         }
     }
 
-    /// Bills a request; the caller gets what is left for it when the bill is durable.
+    /// Bills a request. Once the bill is durable, the caller gets what `then` says.
     fn bill(&mut self, id: RequestId, used: Tokens, outcome: Outcome, answer_end: AnswerEnd) {
         let request = &mut self.requests[&id];
-        // What broken runs used is the team's or the house's, as the deployment says; a bill never passes what was
-        // reserved, so the house bears the rest.
+        // Either the team or the operator (`House`) pays for broken runs, as the deployment specifies. A bill never
+        // exceeds the reservation, so the operator bears the remainder.
         let wasted = match request.bearer {
             Bearer::Team => request.wasted,
             Bearer::House => Tokens::ZERO,
@@ -142,7 +142,7 @@
         self.appender.push(record, ticket);
     }
 
-    /// Takes the fold's word on a bill.
+    /// Handles the ledger's verdict on a bill.
     pub(crate) fn bill_verdict(&mut self, now: Instant, id: RequestId, verdict: &Verdict) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -161,7 +161,7 @@
             (_, AnswerEnd::Withheld) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
                 let detail = "the bill did not take effect; send it again to have it whole";
-                self.cut(id, detail);
+                self.abort_answer(id, detail);
             }
             (_, AnswerEnd::Released | AnswerEnd::None) => {
                 warn!(event = "bill-void", request = %id, ?verdict);
@@ -170,11 +170,11 @@
         self.finish(now, id);
     }
 
-    /// Tries another endpoint for a request that its endpoint did not run, or refuses it.
-    fn not_run(&mut self, now: Instant, id: RequestId, retry: Option<Duration>) {
+    /// Retries a request on another endpoint after its endpoint did not run it, or refuses the request.
+    fn retry_or_refuse(&mut self, now: Instant, id: RequestId, retry: Option<Duration>) {
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
-        if self.try_elsewhere(now, id) {
+        if self.retry_elsewhere(now, id) {
             return;
         }
         if self.requests[&id].wasted > Tokens::ZERO {
@@ -183,17 +183,17 @@
         }
         let detail = "no endpoint took the request";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-        let problem = problem.with_retry(retry.unwrap_or(FAILED_RETRY));
+        let problem = problem.with_retry(retry.unwrap_or(FAILURE_RETRY));
         self.refuse_with(now, id, problem);
     }
 
-    /// Sends a request to another endpoint, if there is one and the retry budget allows it.
+    /// Sends a request to another endpoint, if one is available and the retry budget allows it.
     ///
-    /// When many endpoints fail, each retry adds load where there is least room for it; without the budget, retries
-    /// keep the rest down.
-    pub(crate) fn try_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
-        let tries = self.requests[&id].failed_endpoints.len();
-        if tries >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
+    /// When many endpoints fail, each retry adds load where there is the least capacity for it. Without the budget,
+    /// retries would keep the remaining endpoints overloaded.
+    pub(crate) fn retry_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
+        let attempts = self.requests[&id].failed_endpoints.len();
+        if attempts >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
             return false;
         }
         let Some(endpoint) = self.pick_endpoint(now, id) else {
@@ -204,8 +204,14 @@
         true
     }
 
-    /// Takes a run whose endpoint failed after it had the request.
-    fn broken(&mut self, now: Instant, id: RequestId, usage: Option<Usage>, begun: bool) {
+    /// Handles a run whose endpoint failed after it had received the request.
+    fn handle_broken_run(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        usage: Option<Usage>,
+        begun: bool,
+    ) {
         let request = &mut self.requests[&id];
         let used = usage.map_or(request.reserve, Usage::total);
         if !request.idempotent {
@@ -220,7 +226,7 @@
         }
         if !begun {
             request.wasted = request.wasted.saturating_add(used).min(request.reserve);
-            if self.try_elsewhere(now, id) {
+            if self.retry_elsewhere(now, id) {
                 return;
             }
             self.fail(id, Tokens::ZERO);
@@ -229,15 +235,15 @@
         self.fail(id, used);
     }
 
-    /// Ends a request whose run failed and is not tried again; what it used is billed.
+    /// Ends a request whose run failed and is not retried, and bills what it used.
     fn fail(&mut self, id: RequestId, used: Tokens) {
-        self.cut(id, "the endpoint failed before the answer was whole");
+        self.abort_answer(id, "the endpoint failed before the answer was whole");
         self.bill(id, used, Outcome::Cut, AnswerEnd::None);
     }
 
-    fn cut(&mut self, id: RequestId, detail: &str) {
+    fn abort_answer(&mut self, id: RequestId, detail: &str) {
         let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
-        let problem = problem.with_retry(FAILED_RETRY);
+        let problem = problem.with_retry(FAILURE_RETRY);
         self.effects.push(Effect::Cut(id, Box::new(problem)));
     }
 
@@ -246,10 +252,10 @@
         self.effects.push(Effect::Cut(id, Box::new(problem)));
     }
 
-    /// Gives up a request that was dispatched when its caller was gone already.
+    /// Ends a request whose caller had already disconnected when it was dispatched.
     ///
-    /// No answer will come. Were its claim left standing, each retry would be told that the request is in progress.
-    fn unsent(&mut self, now: Instant, id: RequestId) {
+    /// There will be no answer. If its claim stayed open, every retry would be told that the request is in progress.
+    fn handle_unsent_run(&mut self, now: Instant, id: RequestId) {
         let request = &mut self.requests[&id];
         request.dispatched = request.wasted > Tokens::ZERO;
         match request.dispatched {
@@ -258,22 +264,22 @@
         }
     }
 
-    /// Bills what a caller that went away had of its answer.
-    fn caller_gone(&mut self, id: RequestId, usage: Option<Usage>) {
+    /// Bills what was generated for a caller before it disconnected.
+    fn bill_disconnected(&mut self, id: RequestId, usage: Option<Usage>) {
         let request = &self.requests[&id];
         let (used, outcome) = match (&request.work, request.idempotent) {
             (Work::Completion { .. }, _) => {
                 let used = usage.map_or(request.reserve, Usage::total);
                 (used, Outcome::Cut)
             }
-            // It goes on at the service, and its price is its price.
+            // The call continues at the service and costs its full price.
             (Work::Call { .. } | Work::Relay(_), _) => (request.reserve, Outcome::Cut),
         };
         self.bill(id, used, outcome, AnswerEnd::None);
     }
 
-    /// Gives up a request that can't be billed any more.
-    pub(crate) fn lose(&mut self, now: Instant, id: RequestId) {
+    /// Ends a request that can no longer be billed.
+    pub(crate) fn abort_unbillable(&mut self, now: Instant, id: RequestId) {
         let released = matches!(
             self.requests[&id].state,
             State::Billing {
@@ -283,20 +289,20 @@
         if !released {
             let detail =
                 "this router was taken for dead by the others, so the answer could not be billed";
-            self.cut(id, detail);
+            self.abort_answer(id, detail);
         }
         self.free_endpoint(now, id);
         self.finish(now, id);
     }
 
-    /// Takes a caller's going away before its answer began.
-    pub(crate) fn hung_up(&mut self, now: Instant, id: RequestId) {
+    /// Handles a caller that disconnects before its answer begins.
+    pub(crate) fn handle_disconnect(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         match &request.state {
-            // A call goes on without its caller: a retry is answered with its outcome. Whoever runs a completion, or
-            // finds that nobody does, says so next.
+            // A call continues without its caller, and a retry is answered with its outcome. For a completion, the
+            // end of its run follows: `CallerGone`, or `Unsent` if nobody sent it.
             State::Running { .. } => {}
             State::Billing { .. } => {
                 self.requests[&id].state = State::Billing {
@@ -311,7 +317,7 @@
         }
     }
 
-    /// Takes a request out of whatever it waits in.
+    /// Removes a request from whatever it waits for.
     pub(crate) fn withdraw(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -327,7 +333,7 @@
         }
     }
 
-    /// Lets a request go whose caller has its answer, once the ledger is done with it.
+    /// Drops a request whose caller needs nothing more, once the ledger holds no claim of it.
     pub(crate) fn abandon(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -340,7 +346,7 @@
         }
     }
 
-    /// Forgets a request.
+    /// Removes a request and releases what is held for it.
     pub(crate) fn finish(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.swap_remove(&id) else {
             return;
@@ -367,16 +373,16 @@
         self.recheck_contended(now);
     }
 
-    /// Ends requests that waited past their deadline, and runs those whose claims a log outage holds up.
+    /// Ends requests that waited past their deadline, and those that cannot proceed in a log outage.
     pub(crate) fn expire_requests(&mut self, now: Instant) {
         let outage = self.in_outage(now);
-        let late: Vec<_> = self
+        let expired: Vec<_> = self
             .requests
             .iter()
             .filter(|(_, r)| now >= r.deadline || (outage && r.state.needs_log()))
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in expired {
             self.expire_request(now, id);
         }
     }
@@ -385,20 +391,20 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let past = now >= request.deadline;
+        let overdue = now >= request.deadline;
         let outage = self.in_outage(now);
         match &request.state {
-            State::Running { .. } if past => self.stop_relay(id),
-            State::Contended if past => self.refuse_contended(now, id),
-            State::Funding { .. } if past => {
+            State::Running { .. } if overdue => self.stop_relay(id),
+            State::Contended if overdue => self.refuse_contended(now, id),
+            State::Funding { .. } if overdue => {
                 let detail = "the wait for the team's budget outlasted the deadline";
                 self.refuse(now, id, ProblemKind::BudgetSpent, detail);
             }
-            State::Queued if past => {
+            State::Queued if overdue => {
                 let detail = "the wait for an endpoint outlasted the deadline";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
-            State::Funding { .. } if outage && now >= request.arrived_at + FUNDING_OUTAGE => {
+            State::Funding { .. } if outage && now >= request.arrived_at + FUNDING_TIMEOUT => {
                 let detail = "the log service can't be reached, and this router holds too little of the budget";
                 let instead = self.other_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
@@ -408,7 +414,7 @@
                     problem.with_retry(OUTAGE_RETRY).with_instead(instead),
                 );
             }
-            State::Claiming { .. } if past => {
+            State::Claiming { .. } if overdue => {
                 let detail = "the log service did not take the claim in time";
                 self.refuse(now, id, ProblemKind::LogOutage, detail);
             }
@@ -422,6 +428,6 @@
         let at = self.claim_holder(id).map(str::to_owned);
         let detail = "another attempt of the request is in progress";
         let problem = Problem::new(ProblemKind::InProgress, Ran::Unknown, detail);
-        self.send_refusal(now, id, problem.with_retry(FAILED_RETRY).with_instead(at));
+        self.send_refusal(now, id, problem.with_retry(FAILURE_RETRY).with_instead(at));
     }
 }
