--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -287,9 +287,10 @@
         let first_token = first_token.map(|at| at - *since);
         let latency = first_token.unwrap_or(now - *since);
         let (sample, evidence) = match end {
-            RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
-                (Sample::Answered(latency), Some(Observation::Answered(latency)))
-            }
+            RunEnd::Whole { .. } | RunEnd::Answered { .. } => (
+                Sample::Answered(latency),
+                Some(Observation::Answered(latency)),
+            ),
             RunEnd::NotRun { retry: Some(_) } => (Sample::Refused, None),
             RunEnd::NotRun { .. } | RunEnd::Broken { .. } => {
                 (Sample::Other, Some(Observation::Failed))
