--- a/src/router/closing.rs
+++ b/src/router/closing.rs
@@ -24,25 +24,25 @@
 const RANK_DELAY: Duration = Duration::from_millis(300);
 
 /// How long to wait for a dead router's batches to be folded before it is closed all the same.
-const KEPT_WAIT: Duration = Duration::from_secs(3);
+const FOLD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How often a dead router's batches are sent off anew until they are folded.
-const KEPT_AGAIN: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How far the closing of a dead router has come.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Closing {
     /// Since when it goes on.
-    since: Instant,
+    started_at: Instant,
     /// When the batches that it left here were last sent off.
-    brought: Option<Instant>,
+    batches_sent: Option<Instant>,
     /// When its record was last sent off.
-    recorded: Option<Instant>,
+    record_sent: Option<Instant>,
 }
 
 impl Core {
     /// Closes incarnations that are silent.
-    pub(crate) fn close_dead(&mut self, now: Instant) {
+    pub(crate) fn close_dead_routers(&mut self, now: Instant) {
         let log_fresh = now < self.members.log_heard + FRESH;
         if !self.serving() || self.in_outage(now) || !log_fresh {
             // What was sent off may not have landed; all of it begins again when the log is back.
@@ -57,10 +57,10 @@
             .collect();
         for (router, vm, sequence) in open {
             if self.is_silent(now, router, &vm) {
-                self.close_one(now, router, sequence);
+                self.close_router(now, router, sequence);
             }
         }
-        self.forget_closed();
+        self.prune_closed();
     }
 
     /// Returns whether an incarnation has given no sign of life for long enough.
@@ -69,7 +69,7 @@
         let last = *self.members.signs.entry(router).or_insert(now);
         let base = match self.members.is_replaced(now, router, vm) {
             true => Duration::ZERO,
-            false => self.patience_with(now, vm),
+            false => self.silence_timeout(now, vm),
         };
         now >= last + base + RANK_DELAY * rank
     }
@@ -90,42 +90,46 @@
     ///
     /// Its last bills may be known to its peers alone. Were it closed first, they would be void, and answers that
     /// callers have whole would stay unbilled.
-    fn close_one(&mut self, now: Instant, router: Incarnation, sequence: Sequence) {
+    fn close_router(&mut self, now: Instant, router: Incarnation, sequence: Sequence) {
         let kept = self.members.kept.get(&router);
         let missing = kept.filter(|kept| kept.last > sequence);
-        let begun = self.members.closing.get(&router).copied();
-        let mut closing = begun.unwrap_or(Closing {
-            since: now,
-            brought: None,
-            recorded: None,
+        let ongoing = self.members.closing.get(&router).copied();
+        let mut closing = ongoing.unwrap_or(Closing {
+            started_at: now,
+            batches_sent: None,
+            record_sent: None,
         });
-        if begun.is_none() {
+        if ongoing.is_none() {
             warn!(event = "closing", %router, left_here = missing.is_some());
         }
         // An append may fail, so they are brought until they are folded.
         if let Some(kept) = missing
-            && closing.brought.is_none_or(|at| now >= at + KEPT_AGAIN)
+            && closing
+                .batches_sent
+                .is_none_or(|at| now >= at + RESEND_INTERVAL)
         {
-            closing.brought = Some(now);
+            closing.batches_sent = Some(now);
             let batches = kept.batches.iter().cloned().map(Effect::AppendKept);
             self.effects.extend(batches);
         }
-        let waited = missing.is_none() || now >= closing.since + KEPT_WAIT;
-        let due = closing.recorded.is_none_or(|at| now >= at + KEPT_WAIT);
-        if begun.is_some() && waited && due {
-            closing.recorded = Some(now);
-            self.push_close(router);
+        let waited = missing.is_none() || now >= closing.started_at + FOLD_TIMEOUT;
+        let due = closing
+            .record_sent
+            .is_none_or(|at| now >= at + FOLD_TIMEOUT);
+        if ongoing.is_some() && waited && due {
+            closing.record_sent = Some(now);
+            self.append_close(router);
         }
         self.members.closing.insert(router, closing);
     }
 
-    fn push_close(&mut self, router: Incarnation) {
+    fn append_close(&mut self, router: Incarnation) {
         info!(event = "close", %router);
         self.appender.push(Record::Close { router }, Ticket::Other);
     }
 
     /// Forgets what concerns incarnations that are over.
-    fn forget_closed(&mut self) {
+    fn prune_closed(&mut self) {
         let ledger = &self.ledger;
         let members = &mut self.members;
         members.closing.retain(|id, _| ledger.is_open(*id));
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -444,7 +444,7 @@
         self.recheck_contended(now);
         self.rebalance_holdings(now);
         self.beat(now);
-        self.close_dead(now);
+        self.close_dead_routers(now);
         self.replicate(now);
         self.tick_pools(now);
         self.write_checkpoint(now);
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -18,25 +18,25 @@
 
 /// How much shorter the silence of a router may be whose VM says that nothing listens there: heartbeats are an eighth of
 /// it apart, and two must have found that.
-const REFUSED_PART: u32 = 4;
+const REFUSED_DIVISOR: u32 = 4;
 
 /// How much longer a router may be mute while the VM list shows its VM as live: a pause of some seconds passes by.
 const MUTE_FACTOR: u32 = 3;
 
 /// How much sooner a router stops than the others may close it, in quarters of the time: they may have heard it later
 /// than it heard them.
-const MARGIN: u32 = 3;
+const STOP_QUARTERS: u32 = 3;
 
 impl Core {
     /// Returns how long a silent router is left alone.
-    pub(crate) fn patience_with(&self, now: Instant, vm: &VmId) -> Duration {
+    pub(crate) fn silence_timeout(&self, now: Instant, vm: &VmId) -> Duration {
         let silence = self.tuning.silence;
         let seen = self.members.silence(now, vm);
         match (seen, self.members.is_listed(vm)) {
-            (Some(Silence::Refused), _) => silence / REFUSED_PART,
+            (Some(Silence::Refused), _) => silence / REFUSED_DIVISOR,
             (_, false) => silence,
             (Some(Silence::Unreachable), true) => self.tuning.parted.max(silence),
-            (_, true) => self.patience_with_mute(),
+            (_, true) => self.mute_timeout(),
         }
     }
 
@@ -44,7 +44,7 @@
     ///
     /// It may be frozen, and then its tokens and its requests are better taken from it; or what stands between may
     /// swallow what it says, and then it serves its callers. Each user has one of these at heart.
-    fn patience_with_mute(&self) -> Duration {
+    fn mute_timeout(&self) -> Duration {
         match self.tuning.lean {
             Lean::Strict => self.tuning.silence * MUTE_FACTOR,
             Lean::Available => self.tuning.parted.max(self.tuning.silence),
@@ -55,7 +55,7 @@
     pub(crate) fn may_run_unclaimed(&self, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.members.log_heard);
         let limit = self.isolation_limit(now);
-        self.has_keeper(now) && limit.is_none_or(|limit| since < limit)
+        self.can_replicate(now) && limit.is_none_or(|limit| since < limit)
     }
 
     /// Returns how long this router may go without the log, if some router may have it and close this one.
@@ -68,31 +68,32 @@
             .filter(|peer| !self.members.is_heard(now, &peer.vm))
             .cloned()
             .collect();
-        let parted = |peer: &crate::router::Peer| {
+        let unreachable = |peer: &crate::router::Peer| {
             self.members.silence(now, &peer.vm) == Some(Silence::Unreachable)
         };
-        let time = match () {
+        let timeout = match () {
             () if silent.is_empty() => return None,
-            () if silent.iter().all(parted) => self.tuning.parted,
-            () => self.patience_with_mute(),
+            () if silent.iter().all(unreachable) => self.tuning.parted,
+            () => self.mute_timeout(),
         };
-        Some(time * MARGIN / 4)
+        Some(timeout * STOP_QUARTERS / 4)
     }
 
     /// Returns whether others can keep what this one cannot append.
     ///
     /// Without that the end of no answer could go out before the log is back, so that a run would be of no use to its
     /// caller, who does better elsewhere.
-    fn has_keeper(&self, now: Instant) -> bool {
+    fn can_replicate(&self, now: Instant) -> bool {
         let peers = self.members.roster.peers();
         let mut peers = peers.iter();
-        let one = peers.any(|p| self.may_keep(&p.vm) && self.members.is_heard(now, &p.vm));
-        let one = one || self.tuning.marker == EndMarker::Hold;
+        let replica =
+            peers.any(|p| self.counts_as_replica(&p.vm) && self.members.is_heard(now, &p.vm));
+        let replica = replica || self.tuning.marker == EndMarker::Hold;
         match self.tuning.lean {
-            Lean::Available => one,
+            Lean::Available => replica,
             Lean::Strict => {
-                let mut closers = self.closers().into_iter();
-                one && closers.all(|vm| self.members.is_heard(now, &vm))
+                let mut open_peers = self.open_peers().into_iter();
+                replica && open_peers.all(|vm| self.members.is_heard(now, &vm))
             }
         }
     }
@@ -101,7 +102,7 @@
     ///
     /// A failure domain goes down as a whole, so a keeper in this router's own adds little. Where refusals weigh more
     /// than a bill that may be lost with a domain, it counts all the same: a domain that is cut off has no other.
-    pub(crate) fn may_keep(&self, peer: &VmId) -> bool {
+    pub(crate) fn counts_as_replica(&self, peer: &VmId) -> bool {
         let domain = self.members.domain(peer);
         match self.tuning.lean {
             Lean::Strict => domain.is_some_and(|domain| *domain != self.tuning.domain),
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -142,7 +142,7 @@
             self.run_kept_claim(now, id);
         }
         let mut kept = self.outage.kept.iter();
-        let apart = kept.any(|(vm, extent)| *extent >= covered && self.may_keep(vm));
+        let apart = kept.any(|(vm, extent)| *extent >= covered && self.counts_as_replica(vm));
         if apart && self.tuning.marker == EndMarker::Peers {
             billed.into_iter().for_each(|id| self.bill_kept(id));
         }
@@ -155,19 +155,19 @@
     /// router before it. Where refusals weigh more, one keeper is enough, and a partition may bring both.
     fn covered(&self) -> Option<Extent> {
         let kept = &self.outage.kept;
-        let closers = self.closers();
+        let open_peers = self.open_peers();
         match self.tuning.lean {
-            _ if closers.is_empty() => self.appender.extent(),
+            _ if open_peers.is_empty() => self.appender.extent(),
             Lean::Available => kept.values().max().copied(),
             Lean::Strict => {
-                let extents = closers.iter().map(|vm| kept.get(vm).copied());
+                let extents = open_peers.iter().map(|vm| kept.get(vm).copied());
                 extents.min().flatten()
             }
         }
     }
 
     /// Returns the VMs of the other routers that are open and listed.
-    pub(crate) fn closers(&self) -> Vec<VmId> {
+    pub(crate) fn open_peers(&self) -> Vec<VmId> {
         let open = self.ledger.routers().filter(|(_, state)| !state.closed);
         open.filter(|(_, state)| state.vm != self.tuning.vm)
             .filter(|(_, state)| self.members.domain(&state.vm).is_some())
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -156,7 +156,7 @@
         let mut routers = self.ledger.routers();
         let earlier = routers.any(|(_, state)| !state.closed && state.vm == self.tuning.vm);
         drop(routers);
-        let waits = earlier && !self.closers().is_empty() && now < caught + EARLIER;
+        let waits = earlier && !self.open_peers().is_empty() && now < caught + EARLIER;
         if !waits {
             self.caught = None;
             self.open();
