--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -25,11 +25,11 @@
 
 /// How often peers are sent what is new. Callers wait this long for the end of their answers, and at 100 bytes a record
 /// a batch of a busy router's records stays small.
-const REPLICATE: Duration = Duration::from_millis(50);
+const REPLICATION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How many records a batch takes that is left with peers: while it grows it is sent again with each, and an hour of a few
 /// requests a second makes some hundred batches, which are appended within seconds when the log is back.
-const KEPT_RECORDS: usize = 64;
+const REPLICA_RECORDS: usize = 64;
 
 /// How far a router's batches go: the number of the last one, and how many records that has.
 type Extent = (Sequence, usize);
@@ -37,11 +37,11 @@
 /// What a router has left with others in a log outage.
 #[derive(Debug, Default)]
 pub(crate) struct Outage {
-    sent: Option<Instant>,
-    waiting: usize,
-    began: bool,
-    /// What each peer keeps, of the incarnation that runs now.
-    kept: IndexMap<VmId, Extent>,
+    sent_at: Option<Instant>,
+    sent_records: usize,
+    active: bool,
+    /// What each peer stored, of the incarnation that runs now.
+    replicas: IndexMap<VmId, Extent>,
 }
 
 impl Core {
@@ -51,34 +51,40 @@
     /// batches at routers of other failure domains, the end of an answer may go out before the log is back.
     pub(crate) fn replicate(&mut self, now: Instant) {
         let outage = self.in_outage(now);
-        if outage != self.outage.began {
-            self.outage.began = outage;
+        if outage != self.outage.active {
+            self.outage.active = outage;
             info!(event = "log-outage", begins = outage);
         }
         if !outage {
             return;
         }
-        let due = self.outage.sent.is_none_or(|at| now >= at + REPLICATE);
-        self.appender.seal(KEPT_RECORDS);
+        let due = self
+            .outage
+            .sent_at
+            .is_none_or(|at| now >= at + REPLICATION_INTERVAL);
+        self.appender.seal(REPLICA_RECORDS);
         let waiting = self.appender.waiting();
-        let again = self.outage.sent.is_none_or(|at| now >= at + REPLICATE * 20);
-        if !due || (waiting == self.outage.waiting && !again) {
+        let repeat = self
+            .outage
+            .sent_at
+            .is_none_or(|at| now >= at + REPLICATION_INTERVAL * 20);
+        if !due || (waiting == self.outage.sent_records && !repeat) {
             return;
         }
-        self.outage.sent = Some(now);
-        self.outage.waiting = waiting;
+        self.outage.sent_at = Some(now);
+        self.outage.sent_records = waiting;
         for peer in self.members.roster.peers().iter().cloned() {
-            self.leave_with(peer);
+            self.replicate_to(peer);
         }
-        self.go_on_kept(now);
+        self.advance_replicated(now);
     }
 
     /// Leaves with a peer what it does not keep yet.
     ///
-    /// The last batch that it keeps may have grown since, so that one goes again. Were all sent each time, what an hour's
+    /// The last batch that it stored may have grown since, so that one goes again. Were all sent each time, what an hour's
     /// outage gathers would be sent some thousand times.
-    fn leave_with(&mut self, peer: Peer) {
-        let kept = self.outage.kept.get(&peer.vm).copied();
+    fn replicate_to(&mut self, peer: Peer) {
+        let kept = self.outage.replicas.get(&peer.vm).copied();
         let Some((last, records)) = self.appender.extent() else {
             return;
         };
@@ -98,40 +104,46 @@
     }
 
     /// Takes a peer's word that it lacks what it was left before, as one that began anew does.
-    pub(crate) fn unkept(&mut self, peer: &VmId) {
-        self.outage.kept.shift_remove(peer);
+    pub(crate) fn drop_replica(&mut self, peer: &VmId) {
+        self.outage.replicas.shift_remove(peer);
     }
 
     /// Keeps a peer's batches, or says that it is no use.
     ///
     /// A router that was closed while it was cut off may not know it yet. Were its batches kept all the same, it would
     /// let the ends of answers go out whose bills are void.
-    pub(crate) fn keep(&mut self, id: AdminId, batches: KeptBatches) {
+    pub(crate) fn store_replica(&mut self, id: AdminId, batches: KeptBatches) {
         let state = self.ledger.router(batches.router);
         let folded = state.filter(|state| !state.closed).map(|s| s.sequence);
-        let keeps = folded.is_some_and(|folded| self.members.keep(batches, folded));
-        let status = if keeps { 200 } else { 409 };
+        let stored = folded.is_some_and(|folded| self.members.keep(batches, folded));
+        let status = if stored { 200 } else { 409 };
         self.effects.push(Effect::Answer(id, status, Value::Null));
     }
 
-    /// Takes a peer's word that it keeps batches of this router.
-    pub(crate) fn kept(&mut self, now: Instant, peer: VmId, router: Incarnation, extent: Extent) {
+    /// Takes a peer's word that it stored batches of this router.
+    pub(crate) fn handle_replica_ack(
+        &mut self,
+        now: Instant,
+        peer: VmId,
+        router: Incarnation,
+        extent: Extent,
+    ) {
         if router != self.me {
             return;
         }
-        let kept = self.outage.kept.entry(peer).or_insert(extent);
+        let kept = self.outage.replicas.entry(peer).or_insert(extent);
         *kept = extent.max(*kept);
-        self.go_on_kept(now);
+        self.advance_replicated(now);
     }
 
     /// Goes on with what is kept by all whose word is needed.
-    fn go_on_kept(&mut self, now: Instant) {
-        let Some(covered) = self.covered() else {
+    fn advance_replicated(&mut self, now: Instant) {
+        let Some(replicated) = self.replicated_extent() else {
             return;
         };
         let mut claimed = Vec::new();
         let mut billed = Vec::new();
-        for ticket in self.appender.tickets(covered) {
+        for ticket in self.appender.tickets(replicated) {
             match ticket {
                 Ticket::Claim(request) => claimed.push(*request),
                 Ticket::Bill { request, .. } => billed.push(*request),
@@ -141,10 +153,13 @@
         for id in claimed {
             self.run_kept_claim(now, id);
         }
-        let mut kept = self.outage.kept.iter();
-        let apart = kept.any(|(vm, extent)| *extent >= covered && self.counts_as_replica(vm));
-        if apart && self.tuning.marker == EndMarker::Peers {
-            billed.into_iter().for_each(|id| self.bill_kept(id));
+        let mut replicas = self.outage.replicas.iter();
+        let confirmed =
+            replicas.any(|(vm, extent)| *extent >= replicated && self.counts_as_replica(vm));
+        if confirmed && self.tuning.marker == EndMarker::Peers {
+            billed
+                .into_iter()
+                .for_each(|id| self.release_answer_end(id));
         }
     }
 
@@ -153,14 +168,14 @@
     /// Where overspend weighs more, that is every router that may close this one or refuse a retry: one that does not
     /// know of a claim would say that its request was not run, and one that does not know of a bill would close this
     /// router before it. Where refusals weigh more, one keeper is enough, and a partition may bring both.
-    fn covered(&self) -> Option<Extent> {
-        let kept = &self.outage.kept;
+    fn replicated_extent(&self) -> Option<Extent> {
+        let replicas = &self.outage.replicas;
         let open_peers = self.open_peers();
         match self.tuning.lean {
             _ if open_peers.is_empty() => self.appender.extent(),
-            Lean::Available => kept.values().max().copied(),
+            Lean::Available => replicas.values().max().copied(),
             Lean::Strict => {
-                let extents = open_peers.iter().map(|vm| kept.get(vm).copied());
+                let extents = open_peers.iter().map(|vm| replicas.get(vm).copied());
                 extents.min().flatten()
             }
         }
@@ -176,12 +191,12 @@
     }
 
     /// Forgets what peers keep, for an incarnation that is over.
-    pub(crate) fn forget_kept(&mut self) {
-        self.outage.kept.clear();
+    pub(crate) fn clear_replicas(&mut self) {
+        self.outage.replicas.clear();
     }
 
     /// Lets the end of an answer go out whose bill others keep.
-    fn bill_kept(&mut self, id: RequestId) {
+    fn release_answer_end(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && matches!(
                 request.state,
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -195,7 +195,7 @@
         let fresh = Appender::new(self.me, self.tuning.pace);
         let abandoned = std::mem::replace(&mut self.appender, fresh);
         self.purses.clear();
-        self.forget_kept();
+        self.clear_replicas();
         let draining = matches!(self.phase, Phase::Draining { .. });
         if draining {
             let cut = !self.requests.is_empty();
