--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -40,10 +40,10 @@
 use crate::listen::listen;
 use crate::moment::BootClock;
 use crate::router::Accounting;
+use crate::router::AppendTiming;
 use crate::router::Core;
 use crate::router::Effect;
 use crate::router::Event;
-use crate::router::Pace;
 use crate::router::Tuning;
 use crate::settings::Settings;
 
@@ -124,7 +124,7 @@
         domain: settings.domain.clone(),
         address: settings.advertised().to_string(),
         lean: settings.lean,
-        pace: Pace {
+        pace: AppendTiming {
             interval: ledger.commit_ms.duration(),
             timeout: ledger.append_ms.duration(),
         },
--- a/src/platform/start.rs
+++ b/src/platform/start.rs
@@ -47,12 +47,12 @@
 use crate::platform::store::Append;
 use crate::platform::store::Store;
 use crate::router::Accounting;
+use crate::router::AppendTiming;
 use crate::router::CPU;
 use crate::router::Core;
 use crate::router::Event;
 use crate::router::GrantTuning;
 use crate::router::LINK;
-use crate::router::Pace;
 use crate::router::Tuning;
 use crate::settings::EndMarker;
 use crate::settings::RequestLimits;
@@ -240,7 +240,7 @@
         domain: settings.domain.clone(),
         address: settings.front.to_string(),
         lean: settings.lean,
-        pace: Pace {
+        pace: AppendTiming {
             interval: Duration::from_millis(25),
             timeout: Duration::from_secs(1),
         },
--- a/src/router/appender.rs
+++ b/src/router/appender.rs
@@ -20,7 +20,7 @@
 
 /// Settings of the appender.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct AppendTiming {
     /// The least time between two batches. Seven routers at 25 ms make 280 appends a second.
     pub(crate) interval: Duration,
     /// How long to wait for an answer before the batch is sent again.
@@ -33,26 +33,26 @@
 #[derive(Debug)]
 pub(crate) struct Appender<T> {
     router: Incarnation,
-    pace: Pace,
+    timing: AppendTiming,
     pending: Vec<(Record, T)>,
-    sealed: VecDeque<Sealed<T>>,
-    last: Sequence,
-    sent: Option<Instant>,
-    failed: Option<Instant>,
+    sealed: VecDeque<SealedBatch<T>>,
+    last_sequence: Sequence,
+    sent_at: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 /// A batch whose number and content are fixed.
 #[derive(Debug)]
-struct Sealed<T> {
+struct SealedBatch<T> {
     batch: Batch,
     tickets: Vec<T>,
-    state: Flight,
+    state: BatchState,
     first_sent: Option<Instant>,
 }
 
 /// Where a batch is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Flight {
+enum BatchState {
     /// Not sent yet, or failed and due again.
     Due,
     /// Sent at this time, and not answered.
@@ -72,15 +72,15 @@
 
 impl<T> Appender<T> {
     /// Makes the appender of a new incarnation.
-    pub(crate) fn new(router: Incarnation, pace: Pace) -> Self {
+    pub(crate) fn new(router: Incarnation, timing: AppendTiming) -> Self {
         Self {
             router,
-            pace,
+            timing,
             pending: Vec::new(),
             sealed: VecDeque::new(),
-            last: Sequence(0),
-            sent: None,
-            failed: None,
+            last_sequence: Sequence(0),
+            sent_at: None,
+            failed_at: None,
         }
     }
 
@@ -104,28 +104,28 @@
 
     /// Returns the batch that is to be appended now, if one is.
     pub(crate) fn poll(&mut self, now: Instant) -> Option<Append> {
-        let interval = self.pace.interval;
-        let timeout = self.pace.timeout;
-        let paced = self.sent.is_none_or(|at| now >= at + interval);
+        let interval = self.timing.interval;
+        let timeout = self.timing.timeout;
+        let paced = self.sent_at.is_none_or(|at| now >= at + interval);
         // A batch takes records until it is sent. One closed by the first record to come would leave the others to the
         // next, and each claim would wait an interval more.
         let unsent = self.sealed.front().is_none_or(|s| s.first_sent.is_none());
         if paced && unsent {
             self.seal(MAX_RECORDS);
         }
-        let rested = self.rested().is_none_or(|rested| now >= rested);
+        let retryable = self.retry_at().is_none_or(|at| now >= at);
         let front = self.sealed.front_mut()?;
         let due = match front.state {
-            Flight::Due => true,
-            Flight::Sent(at) => now >= at + timeout,
-            Flight::Landed => false,
+            BatchState::Due => true,
+            BatchState::Sent(at) => now >= at + timeout,
+            BatchState::Landed => false,
         };
-        if !(due && paced && rested) {
+        if !(due && paced && retryable) {
             return None;
         }
-        front.state = Flight::Sent(now);
+        front.state = BatchState::Sent(now);
         front.first_sent.get_or_insert(now);
-        self.sent = Some(now);
+        self.sent_at = Some(now);
         Some(Append {
             sequence: front.batch.sequence,
             bytes: encode(&front.batch),
@@ -137,10 +137,10 @@
     /// In a log outage this is done before they can be sent, so that other routers may keep the batches and append
     /// them verbatim should this router die. A batch that was never sent to the log still takes records: one batch for
     /// each moment of an hour's outage would take longer to append than the outage lasted.
-    pub(crate) fn seal(&mut self, most: usize) {
+    pub(crate) fn seal(&mut self, limit: usize) {
         while !self.pending.is_empty() {
             let room = match self.sealed.back() {
-                Some(last) if last.first_sent.is_none() => most.saturating_sub(last.tickets.len()),
+                Some(last) if last.first_sent.is_none() => limit.saturating_sub(last.tickets.len()),
                 _ => 0,
             };
             if room == 0 {
@@ -156,15 +156,15 @@
     }
 
     fn begin_batch(&mut self) {
-        self.last = Sequence(self.last.0 + 1);
-        self.sealed.push_back(Sealed {
+        self.last_sequence = Sequence(self.last_sequence.0 + 1);
+        self.sealed.push_back(SealedBatch {
             batch: Batch {
                 router: self.router,
-                sequence: self.last,
+                sequence: self.last_sequence,
                 records: Vec::new(),
             },
             tickets: Vec::new(),
-            state: Flight::Due,
+            state: BatchState::Due,
             first_sent: None,
         });
     }
@@ -189,7 +189,7 @@
 
     /// Returns what waits for the verdicts of the records up to an extent.
     pub(crate) fn tickets(&self, (last, records): (Sequence, usize)) -> impl Iterator<Item = &T> {
-        let reached = move |s: &&Sealed<T>| s.batch.sequence <= last;
+        let reached = move |s: &&SealedBatch<T>| s.batch.sequence <= last;
         self.sealed
             .iter()
             .take_while(reached)
@@ -203,18 +203,22 @@
     ///
     /// An append that failed may have taken effect all the same, so the same bytes are sent again under the same
     /// number, and the fold counts one of them.
-    pub(crate) fn answered(&mut self, now: Instant, sequence: Sequence, landed: bool) {
-        self.failed = if landed { None } else { Some(now) };
+    pub(crate) fn handle_append_result(&mut self, now: Instant, sequence: Sequence, landed: bool) {
+        self.failed_at = if landed { None } else { Some(now) };
         let Some(front) = self.sealed.front_mut() else {
             return;
         };
         if front.batch.sequence == sequence {
-            front.state = if landed { Flight::Landed } else { Flight::Due };
+            front.state = if landed {
+                BatchState::Landed
+            } else {
+                BatchState::Due
+            };
         }
     }
 
     /// Takes the fold's verdicts of one of this incarnation's batches, and returns them with their tickets.
-    pub(crate) fn folded(
+    pub(crate) fn take_verdicts(
         &mut self,
         sequence: Sequence,
         verdicts: Vec<Verdict>,
@@ -231,22 +235,22 @@
     }
 
     /// Returns until when a failed append rests before it is sent again.
-    fn rested(&self) -> Option<Instant> {
-        self.failed.map(|at| at + self.pace.interval * 4)
+    fn retry_at(&self) -> Option<Instant> {
+        self.failed_at.map(|at| at + self.timing.interval * 4)
     }
 
     /// Returns when [`Self::poll`] is worth calling again.
-    pub(crate) fn wake(&self) -> Option<Instant> {
-        let sent = self.sent?;
+    pub(crate) fn next_poll(&self) -> Option<Instant> {
+        let sent = self.sent_at?;
         let front = self.sealed.front();
         match front.map(|s| s.state) {
             None if self.pending.is_empty() => None,
-            None | Some(Flight::Due) => {
-                let paced = sent + self.pace.interval;
-                Some(self.rested().map_or(paced, |rested| rested.max(paced)))
+            None | Some(BatchState::Due) => {
+                let paced = sent + self.timing.interval;
+                Some(self.retry_at().map_or(paced, |at| at.max(paced)))
             }
-            Some(Flight::Sent(at)) => Some(at + self.pace.timeout),
-            Some(Flight::Landed) => None,
+            Some(BatchState::Sent(at)) => Some(at + self.timing.timeout),
+            Some(BatchState::Landed) => None,
         }
     }
 
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -30,8 +30,8 @@
 use crate::ledger::Ledger;
 use crate::ledger::Record;
 use crate::moment::BootClock;
+use crate::router::appender::AppendTiming;
 use crate::router::appender::Appender;
-use crate::router::appender::Pace;
 use crate::router::cold::ColdEndpoints;
 use crate::router::configure::ConfigStream;
 use crate::router::drained::DrainedDomains;
@@ -61,7 +61,7 @@
     /// Which user's measure its policies lean to.
     pub(crate) lean: Lean,
     /// How records are gathered into appends.
-    pub(crate) pace: Pace,
+    pub(crate) pace: AppendTiming,
     /// How long a batch may go without its verdict before the log counts as down.
     pub(crate) outage: Duration,
     /// When the end of an answer goes out while the log is down.
@@ -357,7 +357,7 @@
 
     /// Returns when it must be called though nothing happens.
     pub(crate) fn wake(&self) -> Option<Instant> {
-        self.appender.wake()
+        self.appender.next_poll()
     }
 
     /// Returns the offset that follows the last record folded.
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -52,7 +52,7 @@
 pub(crate) use core::GrantTuning;
 pub(crate) use core::Tuning;
 
-pub(crate) use appender::Pace;
+pub(crate) use appender::AppendTiming;
 pub(crate) use drained::DrainedDomains;
 pub(crate) use effect::Effect;
 pub(crate) use effect::Order;
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -64,7 +64,7 @@
             return;
         }
         if batch.router == self.me && !repeated(&verdicts) {
-            let back = self.appender.folded(batch.sequence, verdicts);
+            let back = self.appender.take_verdicts(batch.sequence, verdicts);
             for (ticket, verdict) in back {
                 self.verdict(now, ticket, verdict);
             }
@@ -112,7 +112,7 @@
         landed: bool,
     ) {
         if router == self.me {
-            self.appender.answered(now, sequence, landed);
+            self.appender.handle_append_result(now, sequence, landed);
         }
     }
 
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -24,12 +24,12 @@
 use crate::moment::Moment;
 use crate::router::AdminId;
 use crate::router::AdminRequest;
+use crate::router::AppendTiming;
 use crate::router::Arrival;
 use crate::router::Core;
 use crate::router::Effect;
 use crate::router::Entry;
 use crate::router::Event;
-use crate::router::Pace;
 use crate::router::Problem;
 use crate::router::Run;
 use crate::router::RunEnd;
@@ -97,7 +97,7 @@
         domain: format!("domain-{at}").parse().expect("a name"),
         address: format!("127.0.0.1:{}", 8000 + at),
         lean: Lean::Strict,
-        pace: Pace {
+        pace: AppendTiming {
             interval: COMMIT,
             timeout: OUTAGE,
         },
--- a/src/router/tests/pace.rs
+++ b/src/router/tests/pace.rs
@@ -11,13 +11,13 @@
 use crate::ledger::Verdict;
 use crate::ledger::decode;
 use crate::router::appender::Append;
+use crate::router::appender::AppendTiming;
 use crate::router::appender::Appender;
-use crate::router::appender::Pace;
 use crate::tokens::Tokens;
 
 const INTERVAL: Duration = Duration::from_millis(25);
 
-const PACE: Pace = Pace {
+const PACE: AppendTiming = AppendTiming {
     interval: INTERVAL,
     timeout: Duration::from_millis(500),
 };
@@ -38,9 +38,9 @@
     appender.push(draw(), 0);
     let first = appender.poll(start).unwrap();
     let later = start + Duration::from_millis(1);
-    appender.answered(later, first.sequence, true);
+    appender.handle_append_result(later, first.sequence, true);
     let verdicts = vec![Verdict::Granted(Tokens(1))];
-    assert_eq!(appender.folded(first.sequence, verdicts).len(), 1);
+    assert_eq!(appender.take_verdicts(first.sequence, verdicts).len(), 1);
     appender
 }
 
@@ -67,8 +67,8 @@
     appender.push(draw(), 1);
     let sent = appender.poll(start + INTERVAL).unwrap();
     let failed = start + INTERVAL + Duration::from_millis(1);
-    appender.answered(failed, sent.sequence, false);
-    let wake = appender.wake().unwrap();
+    appender.handle_append_result(failed, sent.sequence, false);
+    let wake = appender.next_poll().unwrap();
     assert_eq!(appender.poll(wake - Duration::from_millis(1)), None);
     assert!(appender.poll(wake).is_some());
 }
