--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -18,23 +18,25 @@
 
 /// How many batches may follow a checkpoint: three minutes of a log service that is busy, and with 40 records a batch
 /// about two seconds' work for a fresh router.
-const BATCHES: u64 = 50_000;
+const MAX_BATCHES: u64 = 50_000;
 
 /// How long to wait before a checkpoint that was not confirmed is written again.
-const AGAIN: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
 impl Core {
     /// Writes a checkpoint if it is this router's turn.
     pub(crate) fn write_checkpoint(&mut self, now: Instant) {
-        let tried = self.checkpointed.is_some_and(|at| now < at + AGAIN);
-        if tried || now < self.first_checkpoint || !self.serving() || self.in_outage(now) {
+        let recent = self
+            .checkpointed
+            .is_some_and(|at| now < at + RETRY_INTERVAL);
+        if recent || now < self.first_checkpoint || !self.serving() || self.in_outage(now) {
             return;
         }
         let schedule = Schedule {
             retention: millis(self.tuning.retention),
-            records: BATCHES,
+            records: MAX_BATCHES,
         };
-        if !schedule.is_due(&self.ledger, self.me, self.log_time(now)) {
+        if !schedule.is_due(&self.ledger, self.me, self.log_time_ms(now)) {
             return;
         }
         self.checkpointed = Some(now);
@@ -54,13 +56,13 @@
     }
 
     /// Has the others know that a checkpoint stands whole.
-    pub(crate) fn checkpoint_written(&mut self, as_of: Offset, first: Offset) {
+    pub(crate) fn append_checkpoint_record(&mut self, as_of: Offset, first: Offset) {
         let record = Record::Checkpoint { as_of, first };
         self.appender.push(record, Ticket::Other);
     }
 
     /// Returns the log service's time, as far as it can be told: that of the last record, and what passed since.
-    pub(crate) fn log_time(&self, now: Instant) -> u64 {
+    pub(crate) fn log_time_ms(&self, now: Instant) -> u64 {
         let since = self
             .folded
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
--- a/src/router/configure.rs
+++ b/src/router/config_stream.rs
@@ -15,25 +15,25 @@
 use crate::router::event::Entry;
 
 /// A checkpoint is due after a quarter of the log's retention, so that three more routers may fail to write one.
-const AGE: u64 = 4;
+const CHECKPOINT_DIVISOR: u64 = 4;
 
 /// Each next router waits for this part of the retention longer.
-const TURN: u64 = 32;
+const TURN_DIVISOR: u64 = 32;
 
 /// How long to wait for one that was written to come back in the stream.
-const AGAIN: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
 /// How many records are kept that lie behind a gap: a day's changes at the size designed for.
-const MAX_AHEAD: usize = 4800;
+const MAX_BUFFERED: usize = 4800;
 
 /// What a router knows of the configuration's stream besides the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigStream {
     /// Records behind a gap, which wait for a checkpoint or a peer.
-    ahead: Vec<Entry>,
+    buffered: Vec<Entry>,
     /// When the last checkpoint was appended, or else the first record, milliseconds of the log service's clock.
-    since: Option<u64>,
-    written: Option<Instant>,
+    checkpoint_ms: Option<u64>,
+    written_at: Option<Instant>,
 }
 
 impl Core {
@@ -53,31 +53,31 @@
             return;
         }
         if entry.offset > self.config.next() {
-            self.fold_config_ahead(entry);
+            self.handle_config_gap(entry);
             return;
         }
         let checkpointed = self.config.checkpointed();
         if let Err(error) = self.config.apply(entry.offset, &entry.data) {
             warn!(event = "config-rejected", offset = %entry.offset, %error);
         }
-        let first = self.config_stream.since.is_none();
+        let first = self.config_stream.checkpoint_ms.is_none();
         if first || self.config.checkpointed() != checkpointed {
-            self.config_stream.since = Some(entry.at);
+            self.config_stream.checkpoint_ms = Some(entry.at);
         }
     }
 
     /// Keeps a record whose predecessors the log has let go, or starts from it if it is a checkpoint.
-    fn fold_config_ahead(&mut self, entry: Entry) {
+    fn handle_config_gap(&mut self, entry: Entry) {
         let resumed = self.config.resume(entry.offset, &entry.data);
         let at = entry.at;
-        if self.config_stream.ahead.len() < MAX_AHEAD {
-            self.config_stream.ahead.push(entry);
+        if self.config_stream.buffered.len() < MAX_BUFFERED {
+            self.config_stream.buffered.push(entry);
         }
         match resumed {
             Ok(true) => {
                 info!(event = "config-resumed", version = %self.config.version());
-                self.config_stream.since = Some(at);
-                self.fold_config_kept();
+                self.config_stream.checkpoint_ms = Some(at);
+                self.fold_buffered_config();
             }
             Ok(false) => {}
             Err(error) => warn!(event = "config-checkpoint-rejected", %error),
@@ -85,8 +85,8 @@
     }
 
     /// Folds the records that waited for what came before them.
-    fn fold_config_kept(&mut self) {
-        for entry in std::mem::take(&mut self.config_stream.ahead) {
+    fn fold_buffered_config(&mut self) {
+        for entry in std::mem::take(&mut self.config_stream.buffered) {
             self.fold_config_entry(entry);
         }
     }
@@ -96,7 +96,7 @@
         match self.config.adopt(snapshot) {
             Ok(true) => {
                 info!(event = "config-relayed", version = %self.config.version());
-                self.fold_config_kept();
+                self.fold_buffered_config();
                 self.config_changed(now);
             }
             Ok(false) => {}
@@ -118,22 +118,23 @@
     ///
     /// Were all routers replaced after that time, nobody would know the configuration any more, and every request would
     /// be refused without anyone having changed anything.
-    pub(crate) fn carry_config(&mut self, now: Instant) {
-        let Some(since) = self.config_stream.since else {
+    pub(crate) fn republish_config(&mut self, now: Instant) {
+        let Some(checkpoint_ms) = self.config_stream.checkpoint_ms else {
             return;
         };
-        let written = self.config_stream.written;
-        let tried = written.is_some_and(|at| now < at + AGAIN);
-        if tried || !self.serving() || self.in_outage(now) {
+        let written_at = self.config_stream.written_at;
+        let recent = written_at.is_some_and(|at| now < at + RETRY_INTERVAL);
+        if recent || !self.serving() || self.in_outage(now) {
             return;
         }
         let retention = millis(self.tuning.retention);
         let turn = u64::from(self.rank(Incarnation(self.config.next().0)));
-        let due = since + retention / AGE + turn * (retention / TURN);
-        if self.log_time(now) < due {
+        let due =
+            checkpoint_ms + retention / CHECKPOINT_DIVISOR + turn * (retention / TURN_DIVISOR);
+        if self.log_time_ms(now) < due {
             return;
         }
-        self.config_stream.written = Some(now);
+        self.config_stream.written_at = Some(now);
         info!(event = "config-checkpoint", version = %self.config.version());
         let checkpoint = Checkpoint::new(self.tuning.vm.as_str(), self.config.snapshot());
         self.effects
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -33,7 +33,7 @@
 use crate::router::appender::AppendTiming;
 use crate::router::appender::Appender;
 use crate::router::cold::ColdEndpoints;
-use crate::router::configure::ConfigStream;
+use crate::router::config_stream::ConfigStream;
 use crate::router::drained::DrainedDomains;
 use crate::router::effect::Effect;
 use crate::router::event::AdminId;
@@ -304,7 +304,7 @@
             Event::LedgerEntries(entries) => self.fold_ledger(now, entries),
             Event::ConfigEntries(entries) => self.fold_config(now, entries),
             Event::LedgerGone => self.fetch_ledger(now),
-            Event::Checkpointed { as_of, first } => self.checkpoint_written(as_of, first),
+            Event::Checkpointed { as_of, first } => self.append_checkpoint_record(as_of, first),
             Event::CaughtUp => self.caught_up(now),
             Event::LedgerSnapshot(ledger) => self.adopt_ledger(now, *ledger),
             Event::ConfigSnapshot(snapshot) => self.adopt_config(now, *snapshot),
@@ -448,7 +448,7 @@
         self.replicate(now);
         self.tick_pools(now);
         self.write_checkpoint(now);
-        self.carry_config(now);
+        self.republish_config(now);
         self.give_orders(now);
         self.go_on_draining(now);
     }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -9,7 +9,7 @@
 mod claim;
 mod closing;
 mod cold;
-mod configure;
+mod config_stream;
 mod core;
 mod drained;
 mod effect;
