--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -54,7 +54,7 @@
             old = old.map(|old| old.0),
             routes = table.count()
         );
-        self.table_watch.took(table.version);
+        self.table_watch.applied(table.version);
         self.effects.push(Effect::OfferTable(table.clone()));
         self.funds.update_prepaid(now, &table);
         self.table = Some(table);
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -282,7 +282,7 @@
         self.members.unheard.swap_remove(&beat.vm);
         self.funds.handle_heartbeat(now, &beat);
         self.relay_config(now, &beat);
-        self.hear_table(now, &beat);
+        self.note_peer_table(now, &beat);
         self.take_drained(now, &beat.drained);
         let before = self.members.heard.insert(beat.vm.clone(), (now, beat));
         if before.is_none() {
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -20,94 +20,97 @@
 use crate::router::problem::Ran;
 
 /// How long the store may take to bring what a peer has already.
-const GRACE: Duration = Duration::from_millis(250);
+const STORE_GRACE: Duration = Duration::from_millis(250);
 
 /// How long after a question to a peer the next one goes out: answers take a second at most.
-const AGAIN: Duration = Duration::from_secs(1);
+const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// When a caller may come back that asked for what a newer configuration may allow.
-const RETRY: Duration = Duration::from_millis(250);
+const RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// What a router knows of configurations newer than its own.
 #[derive(Debug, Default)]
 pub(crate) struct TableWatch {
     /// When the store last had no newer one. Its answer may have come seconds later.
-    confirmed: Option<Instant>,
-    newer: Option<Newer>,
+    confirmed_at: Option<Instant>,
+    newer: Option<NewerTable>,
     /// When a peer was last asked.
-    asked: Option<Instant>,
+    asked_at: Option<Instant>,
 }
 
 /// A configuration that a peer has.
 #[derive(Debug)]
-struct Newer {
+struct NewerTable {
     version: TableVersion,
     /// Who has it and did not fail to send it, the next one to be asked first.
-    vms: IndexSet<VmId>,
+    sources: IndexSet<VmId>,
     /// When a newer one than that in force was first heard of.
-    since: Instant,
+    heard_at: Instant,
 }
 
 impl TableWatch {
     /// Notes that the store had no newer configuration at a moment.
     fn confirm(&mut self, at: Instant) {
-        self.confirmed = self.confirmed.max(Some(at));
+        self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
     /// Notes which configuration a peer has.
-    fn hear(&mut self, now: Instant, own: TableVersion, beat: &Heartbeat) {
-        if beat.table <= own {
+    fn note_version(&mut self, now: Instant, own: TableVersion, heartbeat: &Heartbeat) {
+        if heartbeat.table <= own {
             return;
         }
-        let newer = self.newer.get_or_insert_with(|| Newer {
-            version: beat.table,
-            vms: IndexSet::new(),
-            since: now,
+        let newer = self.newer.get_or_insert_with(|| NewerTable {
+            version: heartbeat.table,
+            sources: IndexSet::new(),
+            heard_at: now,
         });
-        if beat.table > newer.version {
-            newer.version = beat.table;
-            newer.vms.clear();
+        if heartbeat.table > newer.version {
+            newer.version = heartbeat.table;
+            newer.sources.clear();
         }
-        if beat.table == newer.version {
-            newer.vms.insert(beat.vm.clone());
+        if heartbeat.table == newer.version {
+            newer.sources.insert(heartbeat.vm.clone());
         }
     }
 
     /// Notes which configuration is in force.
-    pub(crate) fn took(&mut self, version: TableVersion) {
+    pub(crate) fn applied(&mut self, version: TableVersion) {
         self.newer.take_if(|newer| newer.version <= version);
-        self.asked = None;
+        self.asked_at = None;
     }
 
     /// Returns whether there may be a newer configuration; `limit` is how long the store's last word holds.
     fn may_be_behind(&self, now: Instant, limit: Duration) -> bool {
-        self.newer.is_some() || self.confirmed.is_none_or(|at| now > at + limit)
+        self.newer.is_some() || self.confirmed_at.is_none_or(|at| now > at + limit)
     }
 
     /// Returns how long ago the store last had no newer one.
     fn age(&self, now: Instant) -> Option<Duration> {
-        self.confirmed.map(|at| now.saturating_duration_since(at))
+        self.confirmed_at
+            .map(|at| now.saturating_duration_since(at))
     }
 
     /// Returns who is to be asked for a newer configuration, if it is time for that.
-    fn next_asked(&mut self, now: Instant) -> Option<VmId> {
+    fn next_source(&mut self, now: Instant) -> Option<VmId> {
         let newer = self.newer.as_mut()?;
-        if now < newer.since + GRACE || self.asked.is_some_and(|at| now < at + AGAIN) {
+        if now < newer.heard_at + STORE_GRACE
+            || self.asked_at.is_some_and(|at| now < at + ASK_INTERVAL)
+        {
             return None;
         }
-        let vm = newer.vms.shift_remove_index(0)?;
+        let vm = newer.sources.shift_remove_index(0)?;
         // Asked again after all others that have it.
-        newer.vms.insert(vm.clone());
-        self.asked = Some(now);
+        newer.sources.insert(vm.clone());
+        self.asked_at = Some(now);
         Some(vm)
     }
 
     /// Notes that a peer can't be asked, or did not send what it has; another one may be asked at once.
-    fn failed(&mut self, vm: &VmId) {
+    fn remove_source(&mut self, vm: &VmId) {
         if let Some(newer) = &mut self.newer {
-            newer.vms.shift_remove(vm);
+            newer.sources.shift_remove(vm);
         }
-        self.asked = None;
+        self.asked_at = None;
     }
 }
 
@@ -120,22 +123,22 @@
     }
 
     /// Takes note that the store, which has just answered, had no newer configuration at a moment.
-    pub(crate) fn table_confirmed(&mut self, now: Instant, at: Instant) {
+    pub(crate) fn confirm_table(&mut self, now: Instant, at: Instant) {
         self.table_watch.confirm(at);
         self.funds.store_answered(now);
     }
 
     /// Takes note of a peer's configuration.
-    pub(crate) fn hear_table(&mut self, now: Instant, beat: &Heartbeat) {
+    pub(crate) fn note_peer_table(&mut self, now: Instant, heartbeat: &Heartbeat) {
         let own = self.table_version();
-        self.table_watch.hear(now, own, beat);
+        self.table_watch.note_version(now, own, heartbeat);
     }
 
     /// Asks a peer for its configuration, where the store has not brought it.
     pub(crate) fn fetch_table(&mut self, now: Instant) {
-        while let Some(vm) = self.table_watch.next_asked(now) {
+        while let Some(vm) = self.table_watch.next_source(now) {
             let Some(peer) = self.members.roster.peer(&vm) else {
-                self.table_watch.failed(&vm);
+                self.table_watch.remove_source(&vm);
                 continue;
             };
             info!(event = "config-behind", own = %self.table_version(), from = %vm);
@@ -145,8 +148,8 @@
     }
 
     /// Takes note that a peer did not send its configuration.
-    pub(crate) fn table_unsent(&mut self, now: Instant, vm: &VmId) {
-        self.table_watch.failed(vm);
+    pub(crate) fn handle_table_unsent(&mut self, now: Instant, vm: &VmId) {
+        self.table_watch.remove_source(vm);
         self.fetch_table(now);
     }
 
@@ -177,6 +180,6 @@
             "this router may not have the newest configuration yet",
         );
         let instead = self.other_address();
-        Box::new(problem.with_instead(instead).with_retry(RETRY))
+        Box::new(problem.with_instead(instead).with_retry(RETRY_AFTER))
     }
 }
