--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -12,67 +12,70 @@
 use crate::router::core::Core;
 
 /// How long after a failure domain was taken back an endpoint's word that it is warm may be one from before.
-const OLD_WORD: Duration = Duration::from_millis(1500);
+const STALE_REPORT: Duration = Duration::from_millis(1500);
 
 /// Until when endpoints are cold.
 #[derive(Debug, Default)]
 pub(crate) struct ColdEndpoints {
-    until: IndexMap<VmId, Instant>,
+    cold_until: IndexMap<VmId, Instant>,
     /// When an endpoint's failure domain was taken back.
-    returned: IndexMap<VmId, Instant>,
+    restored_at: IndexMap<VmId, Instant>,
 }
 
 impl ColdEndpoints {
     /// Takes in an endpoint's word of how much longer it is cold; returns whether it turns cold or warm with that.
-    fn said(&mut self, now: Instant, vm: &VmId, left: Duration) -> bool {
+    fn handle_report(&mut self, now: Instant, vm: &VmId, left: Duration) -> bool {
         if !left.is_zero() {
-            return self.until.insert(vm.clone(), now + left).is_none();
+            return self.cold_until.insert(vm.clone(), now + left).is_none();
         }
-        let old = self.returned.get(vm);
-        if old.is_some_and(|at| now < *at + OLD_WORD) {
+        let restored_at = self.restored_at.get(vm);
+        if restored_at.is_some_and(|at| now < *at + STALE_REPORT) {
             return false;
         }
-        self.returned.swap_remove(vm);
-        self.until.swap_remove(vm).is_some()
+        self.restored_at.swap_remove(vm);
+        self.cold_until.swap_remove(vm).is_some()
     }
 
     /// Notes that an endpoint's failure domain was taken back, after which it is cold unless it says otherwise.
-    pub(crate) fn taken_back(&mut self, now: Instant, vm: &VmId, warmup: Duration) {
-        self.returned.insert(vm.clone(), now);
-        let until = self.until.entry(vm.clone()).or_insert(now);
+    pub(crate) fn mark_restored(&mut self, now: Instant, vm: &VmId, warmup: Duration) {
+        self.restored_at.insert(vm.clone(), now);
+        let until = self.cold_until.entry(vm.clone()).or_insert(now);
         *until = (*until).max(now + warmup);
     }
 
     /// Returns until when an endpoint is cold, if it is.
-    pub(crate) fn until(&self, now: Instant, vm: &VmId) -> Option<Instant> {
-        self.until.get(vm).copied().filter(|until| now < *until)
+    pub(crate) fn cold_until(&self, now: Instant, vm: &VmId) -> Option<Instant> {
+        self.cold_until
+            .get(vm)
+            .copied()
+            .filter(|until| now < *until)
     }
 
     /// Returns whether any endpoint is cold.
-    fn any(&self) -> bool {
-        !self.until.is_empty()
+    fn has_cold(&self) -> bool {
+        !self.cold_until.is_empty()
     }
 
     /// Forgets the endpoints that are warm by now.
-    fn forget(&mut self, now: Instant) {
-        self.until.retain(|_, until| now < *until);
-        self.returned.retain(|_, at| now < *at + OLD_WORD);
+    fn prune(&mut self, now: Instant) {
+        self.cold_until.retain(|_, until| now < *until);
+        self.restored_at.retain(|_, at| now < *at + STALE_REPORT);
     }
 }
 
 impl Core {
     /// Takes in endpoints' words of how much longer they are cold.
-    pub(crate) fn endpoints_cold(&mut self, now: Instant, words: &[(VmId, Duration)]) {
-        self.cold.forget(now);
+    pub(crate) fn handle_cold_reports(&mut self, now: Instant, reports: &[(VmId, Duration)]) {
+        self.cold.prune(now);
         let mut changed = false;
-        for (vm, left) in words {
-            if self.cold.said(now, vm, *left) {
+        for (vm, left) in reports {
+            if self.cold.handle_report(now, vm, *left) {
                 changed = true;
                 info!(event = "endpoint-cold", endpoint = %vm, left_ms = left.as_millis());
             }
         }
-        if changed || self.cold.any() {
-            self.share_cold(now);
+        if changed || self.cold.has_cold() {
+            self.update_cold_shares(now);
         }
         if changed {
             self.serve_all_queues(now);
@@ -80,13 +83,13 @@
     }
 
     /// Takes over which endpoints are cold, and this router's share of what each of them bears.
-    pub(crate) fn share_cold(&mut self, now: Instant) {
+    pub(crate) fn update_cold_shares(&mut self, now: Instant) {
         let rates: Vec<_> = self.pools.keys().map(|id| self.cold_rate(id)).collect();
         let routers = self.members.roster.serving();
         let router = &self.tuning.vm;
         for (pool, rate) in self.pools.values_mut().zip(rates) {
             for vm in pool.addresses.keys() {
-                let until = self.cold.until(now, vm);
+                let until = self.cold.cold_until(now, vm);
                 let share = until.map_or(0, |_| cold_share(rate, &routers, router, vm));
                 pool.picker.chooser.cool(vm, until, share);
             }
--- a/src/router/drained.rs
+++ b/src/router/drained.rs
@@ -22,7 +22,7 @@
 
 /// When a caller may come back all of whose endpoints are in drained failure domains: operators drain for some seconds at
 /// least.
-const RETRY: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Which failure domains are drained.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 
 impl Core {
     /// Takes over which failure domains are drained, from the store or from a peer, unless it is older than what is known.
-    pub(crate) fn take_drained(&mut self, now: Instant, new: &DrainedDomains) {
+    pub(crate) fn update_drained(&mut self, now: Instant, new: &DrainedDomains) {
         if new.as_of <= self.drained.as_of {
             return;
         }
@@ -44,7 +44,7 @@
             return;
         }
         for domain in new.domains.difference(&old.domains) {
-            let endpoints = self.endpoints_in(domain);
+            let endpoints = self.count_endpoints(domain);
             info!(event = "domain-drained", %domain, endpoints, as_of = new.as_of);
             if endpoints == 0 && !self.pools.is_empty() {
                 warn!(event = "domain-unknown", %domain);
@@ -52,23 +52,23 @@
         }
         for domain in old.domains.difference(&new.domains) {
             info!(event = "domain-taken-back", %domain, as_of = new.as_of);
-            self.take_back(now, domain);
+            self.restore_domain(now, domain);
         }
         self.rebuild_pools(now);
     }
 
     /// Counts the endpoints of a failure domain.
-    fn endpoints_in(&self, domain: &DomainId) -> usize {
+    fn count_endpoints(&self, domain: &DomainId) -> usize {
         let pools = self.pools.values();
         pools.map(|pool| pool.endpoints_in(domain).count()).sum()
     }
 
     /// Takes the endpoints of a failure domain for cold: they had no requests, and say otherwise soon if they are warm.
-    fn take_back(&mut self, now: Instant, domain: &DomainId) {
+    fn restore_domain(&mut self, now: Instant, domain: &DomainId) {
         for (id, pool) in &self.pools {
             let warmup = self.warmup(id);
             for vm in pool.endpoints_in(domain) {
-                self.cold.taken_back(now, vm, warmup);
+                self.cold.mark_restored(now, vm, warmup);
             }
         }
     }
@@ -92,6 +92,6 @@
     pub(crate) fn refuse_for_drain(&mut self, now: Instant, id: RequestId) {
         let detail = "the failure domains of all its endpoints are drained";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
-        self.refuse_with(now, id, problem.with_retry(RETRY));
+        self.refuse_with(now, id, problem.with_retry(RETRY_AFTER));
     }
 }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -283,7 +283,7 @@
         self.funds.handle_heartbeat(now, &beat);
         self.relay_config(now, &beat);
         self.note_peer_table(now, &beat);
-        self.take_drained(now, &beat.drained);
+        self.update_drained(now, &beat.drained);
         let before = self.members.heard.insert(beat.vm.clone(), (now, beat));
         if before.is_none() {
             self.funds.request_refresh();
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -184,7 +184,7 @@
             pool.refresh(now, &spec, vms, fixed, &self.drained);
             pool.picker.chooser.share(routers.len());
         }
-        self.share_cold(now);
+        self.update_cold_shares(now);
         self.refuse_drained(now);
         self.serve_all_queues(now);
     }
