--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -140,7 +140,7 @@
         if !self.ownership.knows_routers() {
             self.reviewed_at = None;
         }
-        self.clock.expect(peers.len());
+        self.clock.set_peer_count(peers.len());
         self.ownership.set_routers(me, routers, peers);
     }
 
@@ -148,7 +148,7 @@
     pub(crate) fn handle_heartbeat(&mut self, now: Instant, beat: &Heartbeat) {
         self.ownership.mark_responsive(&beat.vm);
         // From now on, what dead incarnations left unspent can be returned.
-        if self.clock.hear(now, &beat.vm, beat.clock) {
+        if self.clock.record_reading(now, &beat.vm, beat.clock) {
             self.reviewed_at = None;
         }
     }
@@ -312,7 +312,7 @@
         if due {
             self.reviewed_at = Some(now);
         }
-        let start = self.clock.start(now);
+        let start = self.clock.start_reading(now);
         let budgets = &self.budgets;
         let prepaid = |team: &TeamId| {
             budgets
@@ -388,7 +388,10 @@
 
     /// Returns what can be reserved now.
     pub(super) fn available(&self, now: Instant, team: &TeamId) -> Tokens {
-        self.remaining(team, self.book.usable_at(team, &self.clock.own(now)))
+        self.remaining(
+            team,
+            self.book.usable_at(team, &self.clock.own_reading(now)),
+        )
     }
 
     /// Returns what a request of a priority can reserve now.
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -115,7 +115,7 @@
         if !self.ownership.knows_routers() {
             return Vec::new();
         }
-        let made = self.clock.at(now);
+        let made = self.clock.reading(now);
         let changes = self.budgets.iter().filter_map(|(team, allowance)| {
             let old = self.book.granted(team);
             let granted = self.target_grant(now, team, allowance);
@@ -258,7 +258,7 @@
         };
         let rate = old.rate.0.abs_diff(new.rate.0) as f64;
         let rate_changed = rate > old.rate.0 as f64 * MIN_RATE_CHANGE;
-        let open = self.book.usable_at(team, &self.clock.own(now));
+        let open = self.book.usable_at(team, &self.clock.own_reading(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
         let stale = opened > new.rate.over(MAX_OPENING_TIME) && allowance.is_worth_writing(opened);
         row.granted > new.used.min(old.used) && (old.used != new.used || rate_changed || stale)
--- a/src/router/tests/fleet_clock.rs
+++ b/src/router/tests/fleet_clock.rs
@@ -13,11 +13,11 @@
 /// Returns a clock that knows those of other routers, which are so many seconds off.
 fn clock(now: Instant, off: &[i64]) -> FleetClock {
     let mut clock = FleetClock::new(boot_clock(1, WALL, now));
-    clock.expect(OTHERS);
+    clock.set_peer_count(OTHERS);
     for (number, off) in off.iter().enumerate() {
         let vm = format!("router-{number}").parse().expect("a name");
         let wall = WALL.as_secs().saturating_add_signed(*off);
-        clock.hear(now, &vm, Duration::from_secs(wall));
+        clock.record_reading(now, &vm, Duration::from_secs(wall));
     }
     clock
 }
@@ -35,9 +35,9 @@
 fn a_few_wrong_clocks_change_nothing() {
     let now = Instant::now();
     let clock = clock(now, &[-4, -4, 7, 7, 0, 0, 0, 0]);
-    assert_eq!(clock.at(now).fleet, exact(WALL));
+    assert_eq!(clock.reading(now).fleet, exact(WALL));
     let later = Duration::from_secs(3);
-    assert_eq!(clock.at(now + later).fleet, exact(WALL + later));
+    assert_eq!(clock.reading(now + later).fleet, exact(WALL + later));
 }
 
 /// Clocks that were set wrong in one direction are more than a quarter. They count, so that the span is too wide rather than
@@ -45,7 +45,7 @@
 #[test]
 fn many_wrong_clocks_widen_the_span() {
     let now = Instant::now();
-    let span = clock(now, &[-4, -4, -4, 0, 0, 0, 0, 0]).at(now).fleet;
+    let span = clock(now, &[-4, -4, -4, 0, 0, 0, 0, 0]).reading(now).fleet;
     let span = span.expect("enough of them are known");
     assert_eq!(span.earliest + Duration::from_secs(4), WALL);
     assert_eq!(span.latest, WALL);
@@ -55,8 +55,8 @@
 #[test]
 fn half_of_the_clocks_are_not_enough() {
     let now = Instant::now();
-    assert_eq!(clock(now, &[0; 4]).at(now).fleet, None);
-    assert!(clock(now, &[0; 5]).at(now).fleet.is_some());
+    assert_eq!(clock(now, &[0; 4]).reading(now).fleet, None);
+    assert!(clock(now, &[0; 5]).reading(now).fleet.is_some());
 }
 
 /// Two routers of a large fleet say what time it is before the list has come that shows how large it is. Theirs may be the wrong
@@ -67,11 +67,11 @@
     let mut clock = FleetClock::new(boot_clock(1, WALL, now));
     for vm in ["router-1", "router-2"] {
         let vm = vm.parse().expect("a name");
-        assert!(!clock.hear(now, &vm, WALL));
+        assert!(!clock.record_reading(now, &vm, WALL));
     }
-    assert_eq!(clock.start(now).fleet, None);
-    clock.expect(OTHERS);
-    assert_eq!(clock.at(now).fleet, None);
+    assert_eq!(clock.start_reading(now).fleet, None);
+    clock.set_peer_count(OTHERS);
+    assert_eq!(clock.reading(now).fleet, None);
 }
 
 /// What the clocks read at the start stays, whoever is heard of later: what was given back by it may be drawn already.
@@ -80,10 +80,10 @@
     let start = Instant::now();
     let mut clock = clock(start, &[0; 5]);
     let now = start + Duration::from_secs(1);
-    assert_eq!(clock.start(now).fleet, exact(WALL));
+    assert_eq!(clock.start_reading(now).fleet, exact(WALL));
     for number in 0..OTHERS {
         let vm = format!("router-{number}").parse().expect("a name");
-        clock.hear(now, &vm, WALL);
+        clock.record_reading(now, &vm, WALL);
     }
-    assert_eq!(clock.start(now).fleet, exact(WALL));
+    assert_eq!(clock.start_reading(now).fleet, exact(WALL));
 }
