--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -215,7 +215,7 @@
                 () = until(self.next_turn(last)) => Event::Tick,
                 () = stop(&mut term, &mut int) => {
                     if told {
-                        self.core.log_cut();
+                        self.core.log_unfinished();
                         warn!(event = "stopped", cut = true);
                         return Ok(Stopped::Cut);
                     }
--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -24,7 +24,7 @@
 
 impl Core {
     /// Answers an operator.
-    pub(crate) fn admin(&mut self, now: Instant, id: AdminId, request: AdminRequest) {
+    pub(crate) fn handle_admin(&mut self, now: Instant, id: AdminId, request: AdminRequest) {
         match request {
             AdminRequest::Address => self.answer_address(now, id),
             AdminRequest::Status => self.answer(id, 200, self.status(now)),
@@ -43,7 +43,7 @@
                 self.answer(id, 200, json!({"addresses": addresses}));
             }
             AdminRequest::Drain => {
-                self.drain(now);
+                self.begin_drain(now);
                 self.answer(id, 202, json!({"draining": true}));
             }
         }
@@ -89,7 +89,7 @@
             .push(record.clone(), Ticket::TopUp(id, record));
     }
 
-    pub(crate) fn top_up_verdict(&mut self, id: AdminId, verdict: &Verdict) {
+    pub(crate) fn answer_top_up(&mut self, id: AdminId, verdict: &Verdict) {
         let applied = *verdict == Verdict::Accepted;
         self.answer(id, 200, json!({"applied": applied}));
     }
@@ -176,7 +176,7 @@
     }
 
     /// Begins a planned stop: no new requests, and those in progress go on.
-    pub(crate) fn drain(&mut self, now: Instant) {
+    pub(crate) fn begin_drain(&mut self, now: Instant) {
         if matches!(self.phase, Phase::Draining { .. }) {
             return;
         }
@@ -191,7 +191,7 @@
     }
 
     /// Says what an early end cuts off.
-    pub(crate) fn log_cut(&self) {
+    pub(crate) fn log_unfinished(&self) {
         for (id, request) in &self.requests {
             warn!(event = "drain-cut", request = %id, key = %request.key);
         }
@@ -202,13 +202,13 @@
     }
 
     /// Ends a planned stop when the last request is over, giving back all that is held.
-    pub(crate) fn go_on_draining(&mut self, now: Instant) {
+    pub(crate) fn finish_drain(&mut self, now: Instant) {
         let Phase::Draining { since, closing } = self.phase else {
             return;
         };
         let late = now >= since + self.tuning.drain;
         if late {
-            self.log_cut();
+            self.log_unfinished();
             self.effects.push(Effect::Exit { cut: true });
         }
         if self.requests.is_empty() && !closing {
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -322,7 +322,7 @@
             Event::Checked(vm, passed) => self.endpoint_checked(now, &vm, passed),
             Event::Load(vm, load) => self.endpoint_load(now, &vm, &load),
             Event::Cache(vm, events) => self.endpoint_cache(&vm, &events),
-            Event::Admin(id, request) => self.admin(now, id, request),
+            Event::Admin(id, request) => self.handle_admin(now, id, request),
             Event::Table(table) => self.apply_table(now, table),
             Event::DrainedDomains(drained) => self.update_drained(now, &drained),
             Event::Cold(words) => self.handle_cold_reports(now, &words),
@@ -335,7 +335,7 @@
             Event::LoanAsked(id, ask) => self.handle_loan_ask(now, id, &ask),
             Event::Lent(ask, amount) => self.funds.record_loan_answer(now, &ask, amount),
             Event::Tuned(tuning) => self.tune(*tuning),
-            Event::Drain => self.drain(now),
+            Event::Drain => self.begin_drain(now),
             Event::Paused => self.paused(now),
             Event::Tick => self.tick(now),
         }
@@ -449,7 +449,7 @@
         self.tick_pools(now);
         self.write_checkpoint(now);
         self.republish_config(now);
-        self.give_orders(now);
-        self.go_on_draining(now);
+        self.issue_orders(now);
+        self.finish_drain(now);
     }
 }
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -24,29 +24,32 @@
 use crate::router::effect::Order;
 
 /// How often the orders are looked over: an endpoint's report comes once a second.
-const EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long an endpoint may take to follow an order before it is given again: loading a model takes tens of seconds, and
 /// the weight store is rate-limited.
-const FOLLOW: Duration = Duration::from_secs(30);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a router has ordered.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
-    looked: Option<Instant>,
-    given: IndexMap<VmId, (Instant, Vec<ModelId>)>,
+    checked_at: Option<Instant>,
+    issued: IndexMap<VmId, (Instant, Vec<ModelId>)>,
     /// Since when this router has been asking to lead a pool.
-    asked: IndexMap<PoolId, Instant>,
+    lead_asked: IndexMap<PoolId, Instant>,
 }
 
 impl Core {
     /// Leads pools whose turn is this router's, and orders what their endpoints lack.
-    pub(crate) fn give_orders(&mut self, now: Instant) {
-        let due = self.orders.looked.is_none_or(|at| now >= at + EVERY);
+    pub(crate) fn issue_orders(&mut self, now: Instant) {
+        let due = self
+            .orders
+            .checked_at
+            .is_none_or(|at| now >= at + CHECK_INTERVAL);
         if !due || !self.serving() || self.in_outage(now) {
             return;
         }
-        self.orders.looked = Some(now);
+        self.orders.checked_at = Some(now);
         let wanted: Vec<_> = self
             .config
             .pools()
@@ -58,15 +61,15 @@
         for (pool, models) in wanted {
             match self.ledger.leader(&pool) {
                 Some((leader, fence)) if leader == self.me => {
-                    self.order(now, &pool, &models, fence.0);
+                    self.order_models(now, &pool, &models, fence.0);
                 }
                 Some((leader, _)) if self.ledger.is_open(leader) => {}
-                _ => self.ask_to_lead(now, pool),
+                _ => self.request_lead(now, pool),
             }
         }
     }
 
-    fn order(&mut self, now: Instant, name: &PoolId, models: &[ModelId], fence: u64) {
+    fn order_models(&mut self, now: Instant, name: &PoolId, models: &[ModelId], fence: u64) {
         let Some(pool) = self.pools.get(name) else {
             return;
         };
@@ -74,16 +77,16 @@
             let Some(loaded) = pool.loaded.get(vm) else {
                 continue;
             };
-            let lacks = models.iter().any(|model| !loaded.contains(model));
+            let incomplete = models.iter().any(|model| !loaded.contains(model));
             let recent = self
                 .orders
-                .given
+                .issued
                 .get(vm)
-                .is_some_and(|(at, given)| now < *at + FOLLOW && given == models);
-            if lacks && !recent {
+                .is_some_and(|(at, issued)| now < *at + ORDER_TIMEOUT && issued == models);
+            if incomplete && !recent {
                 info!(event = "order", pool = %name, endpoint = %vm, fence);
-                let given = (now, models.to_vec());
-                self.orders.given.insert(vm.clone(), given);
+                let issued = (now, models.to_vec());
+                self.orders.issued.insert(vm.clone(), issued);
                 let order = Order {
                     address: address.to_string(),
                     fence,
@@ -95,7 +98,7 @@
     }
 
     /// Asks to lead a pool, if this router is the first in that pool's order.
-    fn ask_to_lead(&mut self, now: Instant, pool: PoolId) {
+    fn request_lead(&mut self, now: Instant, pool: PoolId) {
         let score = |router: Incarnation| {
             let name = format!("{pool}/{router}");
             xxh3_64(name.as_bytes())
@@ -105,10 +108,10 @@
             .routers()
             .filter(|(_, state)| !state.closed)
             .min_by_key(|(id, _)| score(*id));
-        let asked = self.orders.asked.get(&pool);
-        let recent = asked.is_some_and(|at| now < *at + FOLLOW);
+        let asked = self.orders.lead_asked.get(&pool);
+        let recent = asked.is_some_and(|at| now < *at + ORDER_TIMEOUT);
         if first.is_some_and(|(id, _)| id == self.me) && !recent {
-            self.orders.asked.insert(pool.clone(), now);
+            self.orders.lead_asked.insert(pool.clone(), now);
             self.appender.push(Record::Lead { pool }, Ticket::Other);
         }
     }
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -97,7 +97,7 @@
                     purse.end_debit(amount);
                 }
             }
-            Ticket::TopUp(id, _) => self.top_up_verdict(id, &verdict),
+            Ticket::TopUp(id, _) => self.answer_top_up(id, &verdict),
             Ticket::CloseSelf => self.effects.push(Effect::Exit { cut: false }),
             Ticket::Other => {}
         }
