--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a router, and its planned stop.
+//! Operators' requests to a router, and planned stops.
 
 use std::time::Instant;
 
@@ -19,11 +19,11 @@
 use crate::router::event::AdminRequest;
 use crate::tokens::Tokens;
 
-/// The version of the dump that `status` gives.
+/// Version of the state dump that `status` returns.
 const DUMP_VERSION: u32 = 1;
 
 impl Core {
-    /// Answers an operator.
+    /// Handles an operator's request.
     pub(crate) fn handle_admin(&mut self, now: Instant, id: AdminId, request: AdminRequest) {
         match request {
             AdminRequest::Address => self.answer_address(now, id),
@@ -175,7 +175,7 @@
         })
     }
 
-    /// Begins a planned stop: no new requests, and those in progress go on.
+    /// Begins a planned stop: new requests are refused, and those in progress go on.
     pub(crate) fn begin_drain(&mut self, now: Instant) {
         if matches!(self.phase, Phase::Draining { .. }) {
             return;
@@ -190,7 +190,7 @@
         self.effects.push(Effect::Beat(self.heartbeat(now), peers));
     }
 
-    /// Says what an early end cuts off.
+    /// Logs the requests and records that an early end cuts off.
     pub(crate) fn log_unfinished(&self) {
         for (id, request) in &self.requests {
             warn!(event = "drain-cut", request = %id, key = %request.key);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Ends a planned stop when the last request is over, giving back all that is held.
+    /// Ends a planned stop once the last request is over, and returns all holdings.
     pub(crate) fn finish_drain(&mut self, now: Instant) {
         let Phase::Draining { since, closing } = self.phase else {
             return;
--- a/src/router/appender.rs
+++ b/src/router/appender.rs
@@ -1,8 +1,8 @@
-//! Group commit: gathers a router's records into batches and has each appended once.
+//! Group commit: gathers a router's records into batches and has each batch appended once.
 //!
-//! The log service takes a few hundred appends a second for the whole fleet, and a router has thousands of records.
-//! Without batches the first busy minute would fill the service's queue. One batch is on its way at a time: were there
-//! two, the later could land first, and the fold would drop the earlier for good.
+//! The log service takes a few hundred appends a second for the whole fleet, while a router has thousands of records.
+//! Without batches the first busy minute would fill the service's queue. Only one batch is in flight at a time: with
+//! two, the later one could be appended first, and the fold would drop the earlier one for good.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 use crate::ledger::Verdict;
 use crate::ledger::encode;
 
-/// The most records in a batch: at about 100 bytes each, a batch stays under 100 KB, which a log service takes.
+/// Most records in a batch: at about 100 bytes each, a batch stays under 100 KB, which a log service takes.
 pub(crate) const MAX_RECORDS: usize = 1000;
 
-/// Settings of the appender.
+/// Time settings of the appender.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AppendTiming {
-    /// The least time between two batches. Seven routers at 25 ms make 280 appends a second.
+    /// Minimum time between two batches. Seven routers at 25 ms make 280 appends a second.
     pub(crate) interval: Duration,
     /// How long to wait for an answer before the batch is sent again.
     pub(crate) timeout: Duration,
 }
 
-/// Gathers records of one incarnation for one stream.
+/// Gathers the records of one incarnation for one stream.
 ///
-/// `T` is what the caller wants back with a record's verdict.
+/// `T` is returned to the caller with the verdict of its record.
 #[derive(Debug)]
 pub(crate) struct Appender<T> {
     router: Incarnation,
@@ -50,28 +50,28 @@
     first_sent: Option<Instant>,
 }
 
-/// Where a batch is.
+/// State of a batch on its way to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BatchState {
     /// Not sent yet, or failed and due again.
     Due,
-    /// Sent at this time, and not answered.
+    /// Sent at this time and not answered yet.
     Sent(Instant),
-    /// The log has it; its verdict comes when it is folded.
+    /// Appended to the log; its verdict comes when it is folded.
     Landed,
 }
 
-/// What is to be appended now.
+/// A batch to be appended now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Append {
     /// The batch's number.
     pub(crate) sequence: Sequence,
-    /// The batch.
+    /// The encoded batch.
     pub(crate) bytes: Vec<u8>,
 }
 
 impl<T> Appender<T> {
-    /// Makes the appender of a new incarnation.
+    /// Creates the appender of a new incarnation.
     pub(crate) fn new(router: Incarnation, timing: AppendTiming) -> Self {
         Self {
             router,
@@ -95,20 +95,20 @@
         self.pending.len() + sealed
     }
 
-    /// Returns since when the oldest batch that was sent has no verdict.
+    /// Returns when the oldest batch that was sent and has no verdict was first sent.
     ///
-    /// This is how an outage of the log service is noticed: a batch that stays without one.
+    /// A batch that stays without a verdict indicates an outage of the log service.
     pub(crate) fn stalled_since(&self) -> Option<Instant> {
         self.sealed.front().and_then(|s| s.first_sent)
     }
 
-    /// Returns the batch that is to be appended now, if one is.
+    /// Returns the batch to append now, if there is one.
     pub(crate) fn poll(&mut self, now: Instant) -> Option<Append> {
         let interval = self.timing.interval;
         let timeout = self.timing.timeout;
         let paced = self.sent_at.is_none_or(|at| now >= at + interval);
-        // A batch takes records until it is sent. One closed by the first record to come would leave the others to the
-        // next, and each claim would wait an interval more.
+        // A batch takes records until it is sent. If it were sealed with the first record, the others would go into the
+        // next batch, and each claim would wait one interval longer.
         let unsent = self.sealed.front().is_none_or(|s| s.first_sent.is_none());
         if paced && unsent {
             self.seal(MAX_RECORDS);
@@ -132,11 +132,11 @@
         })
     }
 
-    /// Gives the pending records their batches, of at most so many records, and their numbers.
+    /// Moves the pending records into numbered batches of at most `limit` records.
     ///
-    /// In a log outage this is done before they can be sent, so that other routers may keep the batches and append
-    /// them verbatim should this router die. A batch that was never sent to the log still takes records: one batch for
-    /// each moment of an hour's outage would take longer to append than the outage lasted.
+    /// In a log outage this is done before the batches can be sent, so that other routers may store them and append
+    /// them verbatim if this router dies. A batch that was never sent to the log still takes records: with a new batch
+    /// at each replication, those of an hour's outage would take longer to append than the outage lasted.
     pub(crate) fn seal(&mut self, limit: usize) {
         while !self.pending.is_empty() {
             let room = match self.sealed.back() {
@@ -149,7 +149,7 @@
             }
             let count = self.pending.len().min(room);
             let (records, tickets): (Vec<_>, Vec<_>) = self.pending.drain(..count).unzip();
-            let last = self.sealed.back_mut().expect("it has room");
+            let last = self.sealed.back_mut().expect("the last batch has room");
             last.batch.records.extend(records);
             last.tickets.extend(tickets);
         }
@@ -169,7 +169,7 @@
         });
     }
 
-    /// Sends a batch of no records if nothing else is on its way: a sign of life in the log.
+    /// Adds an empty batch if no other is waiting, as a sign of life in the log.
     pub(crate) fn keep_alive(&mut self) {
         if self.sealed.is_empty() && self.pending.is_empty() {
             self.begin_batch();
@@ -181,13 +181,14 @@
         self.sealed.iter().map(|s| &s.batch)
     }
 
-    /// Returns how far the batches without a verdict go: the last one's number, and how many records it has by now.
+    /// Returns the extent of the batches without a verdict: the number of the last one, and how many records it has so
+    /// far.
     pub(crate) fn extent(&self) -> Option<(Sequence, usize)> {
         let last = self.sealed.back()?;
         Some((last.batch.sequence, last.tickets.len()))
     }
 
-    /// Returns what waits for the verdicts of the records up to an extent.
+    /// Returns the tickets of the records up to an extent.
     pub(crate) fn tickets(&self, (last, records): (Sequence, usize)) -> impl Iterator<Item = &T> {
         let reached = move |s: &&SealedBatch<T>| s.batch.sequence <= last;
         self.sealed
@@ -199,10 +200,10 @@
             })
     }
 
-    /// Takes the log service's answer to an append.
+    /// Handles the log service's answer to an append.
     ///
     /// An append that failed may have taken effect all the same, so the same bytes are sent again under the same
-    /// number, and the fold counts one of them.
+    /// number, and the fold counts only one of them.
     pub(crate) fn handle_append_result(&mut self, now: Instant, sequence: Sequence, landed: bool) {
         self.failed_at = if landed { None } else { Some(now) };
         let Some(front) = self.sealed.front_mut() else {
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Takes the fold's verdicts of one of this incarnation's batches, and returns them with their tickets.
+    /// Takes the verdicts on one of this incarnation's batches and returns them with their tickets.
     pub(crate) fn take_verdicts(
         &mut self,
         sequence: Sequence,
@@ -230,16 +231,19 @@
         if !ours {
             return Vec::new();
         }
-        let front = self.sealed.pop_front().expect("it was looked at");
+        let front = self
+            .sealed
+            .pop_front()
+            .expect("the front batch was checked above");
         front.tickets.into_iter().zip(verdicts).collect()
     }
 
-    /// Returns until when a failed append rests before it is sent again.
+    /// Returns when a failed append may be retried.
     fn retry_at(&self) -> Option<Instant> {
         self.failed_at.map(|at| at + self.timing.interval * 4)
     }
 
-    /// Returns when [`Self::poll`] is worth calling again.
+    /// Returns when [`Self::poll`] should be called again.
     pub(crate) fn next_poll(&self) -> Option<Instant> {
         let sent = self.sent_at?;
         let front = self.sealed.front();
@@ -254,7 +258,7 @@
         }
     }
 
-    /// Gives up all that has no verdict, for an incarnation that is over, and returns its tickets.
+    /// Drops all records without a verdict, after the incarnation was closed, and returns their tickets.
     pub(crate) fn abandon(self) -> Vec<T> {
         let sealed = self.sealed.into_iter().flat_map(|s| s.tickets);
         let pending = self.pending.into_iter().map(|(_, ticket)| ticket);
--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Writing checkpoints of the ledger when it is this router's turn.
+//! Writes checkpoints of the ledger when it is this router's turn.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,8 +16,8 @@
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
 
-/// How many batches may follow a checkpoint: three minutes of a log service that is busy, and with 40 records a batch
-/// about two seconds' work for a fresh router.
+/// Most batches after a checkpoint: three minutes of a busy log service, which at 40 records a batch take a starting
+/// router about two seconds to fold.
 const MAX_BATCHES: u64 = 50_000;
 
 /// How long to wait before a checkpoint that was not confirmed is written again.
@@ -42,7 +42,7 @@
         self.checkpointed = Some(now);
         let parts = split(&self.ledger, PART_SIZE);
         if parts.is_empty() {
-            // Unsaid, the log would let go of the last checkpoint, and nobody would know until a fleet restarts.
+            // Without this warning the log would drop the last checkpoint unnoticed until the whole fleet restarts.
             warn!(
                 event = "checkpoint-too-large",
                 keys = self.ledger.keys().count()
@@ -55,13 +55,13 @@
             .push(Effect::Checkpoint(self.ledger.next(), parts));
     }
 
-    /// Has the others know that a checkpoint stands whole.
+    /// Appends the record by which other routers learn that a checkpoint is complete.
     pub(crate) fn append_checkpoint_record(&mut self, as_of: Offset, first: Offset) {
         let record = Record::Checkpoint { as_of, first };
         self.appender.push(record, Ticket::Other);
     }
 
-    /// Returns the log service's time, as far as it can be told: that of the last record, and what passed since.
+    /// Estimates the log service's time in milliseconds: that of the last record, plus the time since it was folded.
     pub(crate) fn log_time_ms(&self, now: Instant) -> u64 {
         let since = self
             .folded
--- a/src/router/closing.rs
+++ b/src/router/closing.rs
@@ -1,8 +1,8 @@
-//! Closing routers that are dead.
+//! Closes the incarnations of routers that have died.
 //!
-//! A router that died keeps what it held and the requests that it claimed until its incarnation is closed: its teams
-//! lack those tokens, and its callers' retries wait. Any router may close it, and a living one that is closed by mistake
-//! loses work and no truth.
+//! A dead router's holdings and claimed requests stay bound until its incarnation is closed: its teams lack those
+//! tokens, and retries by its callers wait. Any router may close it. A live router that is closed by mistake loses
+//! work, but the ledger stays correct.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,32 +20,34 @@
 use crate::router::effect::Effect;
 use crate::router::members::FRESH;
 
-/// How far apart routers close the same dead one, by rank: one append's time, so that mostly one does it.
+/// Delay between the routers that would close the same dead one, per rank. About the time of one append, so that
+/// usually only one of them does it.
 const RANK_DELAY: Duration = Duration::from_millis(300);
 
-/// How long to wait for a dead router's batches to be folded before it is closed all the same.
+/// How long to wait for a dead router's replicated batches to be folded before closing it anyway, and before a close
+/// record is appended again.
 const FOLD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often a dead router's batches are sent off anew until they are folded.
+/// How often a dead router's replicated batches are appended again until they are folded.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How far the closing of a dead router has come.
+/// Progress of closing a dead router.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Closing {
-    /// Since when it goes on.
+    /// When this router began to close it.
     started_at: Instant,
-    /// When the batches that it left here were last sent off.
+    /// When the batches replicated here were last sent to the log.
     batches_sent: Option<Instant>,
-    /// When its record was last sent off.
+    /// When its close record was last sent to the log.
     record_sent: Option<Instant>,
 }
 
 impl Core {
-    /// Closes incarnations that are silent.
+    /// Closes incarnations that have been silent past their time-out.
     pub(crate) fn close_dead_routers(&mut self, now: Instant) {
         let log_fresh = now < self.members.log_heard + FRESH;
         if !self.serving() || self.in_outage(now) || !log_fresh {
-            // What was sent off may not have landed; all of it begins again when the log is back.
+            // Records already sent may not have been appended, so closing starts over when the log is back.
             self.members.closing.clear();
             return;
         }
@@ -63,7 +65,7 @@
         self.prune_closed();
     }
 
-    /// Returns whether an incarnation has given no sign of life for long enough.
+    /// Returns whether an incarnation has shown no sign of life for longer than its time-out.
     fn is_silent(&mut self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
         let rank = self.rank(router);
         let last = *self.members.signs.entry(router).or_insert(now);
@@ -74,7 +76,7 @@
         now >= last + base + RANK_DELAY * rank
     }
 
-    /// Returns this router's place among those that may close a dead one.
+    /// Returns this router's rank among those that may close a dead one.
     pub(crate) fn rank(&self, dead: Incarnation) -> u32 {
         let score = |router: Incarnation| xxh3_64(&(router.0 ^ dead.0).to_le_bytes());
         let mine = score(self.me);
@@ -86,10 +88,10 @@
         u32::try_from(before).unwrap_or(u32::MAX).min(10)
     }
 
-    /// Closes a dead incarnation, after the batches that it left here.
+    /// Closes a dead incarnation, after appending its batches that are replicated here.
     ///
-    /// Its last bills may be known to its peers alone. Were it closed first, they would be void, and answers that
-    /// callers have whole would stay unbilled.
+    /// Its last bills may be known to its peers alone. If it were closed first, those bills would be void, and answers
+    /// that callers received in full would stay unbilled.
     fn close_router(&mut self, now: Instant, router: Incarnation, sequence: Sequence) {
         let kept = self.members.kept.get(&router);
         let missing = kept.filter(|kept| kept.last > sequence);
@@ -102,7 +104,7 @@
         if ongoing.is_none() {
             warn!(event = "closing", %router, left_here = missing.is_some());
         }
-        // An append may fail, so they are brought until they are folded.
+        // An append may fail, so the batches are sent again until they are folded.
         if let Some(kept) = missing
             && closing
                 .batches_sent
@@ -128,7 +130,7 @@
         self.appender.push(Record::Close { router }, Ticket::Other);
     }
 
-    /// Forgets what concerns incarnations that are over.
+    /// Drops the state kept for incarnations that are closed.
     fn prune_closed(&mut self) {
         let ledger = &self.ledger;
         let members = &mut self.members;
--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are cold, by their own word and by how they came into use.
+//! Tracks which endpoints are cold, from their own reports and after their failure domain was restored.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,19 +11,19 @@
 use crate::ids::VmId;
 use crate::router::core::Core;
 
-/// How long after a failure domain was taken back an endpoint's word that it is warm may be one from before.
+/// How long after its failure domain was restored an endpoint's report that it is warm may date from before.
 const STALE_REPORT: Duration = Duration::from_millis(1500);
 
-/// Until when endpoints are cold.
+/// Times until which endpoints are cold.
 #[derive(Debug, Default)]
 pub(crate) struct ColdEndpoints {
     cold_until: IndexMap<VmId, Instant>,
-    /// When an endpoint's failure domain was taken back.
+    /// When an endpoint's failure domain was restored after a drain.
     restored_at: IndexMap<VmId, Instant>,
 }
 
 impl ColdEndpoints {
-    /// Takes in an endpoint's word of how much longer it is cold; returns whether it turns cold or warm with that.
+    /// Handles an endpoint's report of how much longer it is cold; returns whether that turns it cold or warm.
     fn handle_report(&mut self, now: Instant, vm: &VmId, left: Duration) -> bool {
         if !left.is_zero() {
             return self.cold_until.insert(vm.clone(), now + left).is_none();
@@ -36,14 +36,14 @@
         self.cold_until.swap_remove(vm).is_some()
     }
 
-    /// Notes that an endpoint's failure domain was taken back, after which it is cold unless it says otherwise.
+    /// Records that an endpoint's failure domain was restored; the endpoint counts as cold until it reports otherwise.
     pub(crate) fn mark_restored(&mut self, now: Instant, vm: &VmId, warmup: Duration) {
         self.restored_at.insert(vm.clone(), now);
         let until = self.cold_until.entry(vm.clone()).or_insert(now);
         *until = (*until).max(now + warmup);
     }
 
-    /// Returns until when an endpoint is cold, if it is.
+    /// Returns until when an endpoint is cold; `None` if it is warm.
     pub(crate) fn cold_until(&self, now: Instant, vm: &VmId) -> Option<Instant> {
         self.cold_until
             .get(vm)
@@ -51,12 +51,12 @@
             .filter(|until| now < *until)
     }
 
-    /// Returns whether any endpoint is cold.
+    /// Returns whether any endpoint is marked as cold.
     fn has_cold(&self) -> bool {
         !self.cold_until.is_empty()
     }
 
-    /// Forgets the endpoints that are warm by now.
+    /// Drops endpoints that are warm by now.
     fn prune(&mut self, now: Instant) {
         self.cold_until.retain(|_, until| now < *until);
         self.restored_at.retain(|_, at| now < *at + STALE_REPORT);
@@ -64,7 +64,7 @@
 }
 
 impl Core {
-    /// Takes in endpoints' words of how much longer they are cold.
+    /// Handles endpoints' reports of how much longer they are cold.
     pub(crate) fn handle_cold_reports(&mut self, now: Instant, reports: &[(VmId, Duration)]) {
         self.cold.prune(now);
         let mut changed = false;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes over which endpoints are cold, and this router's share of what each of them bears.
+    /// Updates which endpoints are cold in the pools, and this router's share of each one's request rate.
     pub(crate) fn update_cold_shares(&mut self, now: Instant) {
         let rates: Vec<_> = self.pools.keys().map(|id| self.cold_rate(id)).collect();
         let routers = self.members.roster.serving();
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Returns how long an endpoint of a pool is cold that has just started.
+    /// Returns how long an endpoint of a pool is cold after its start.
     pub(crate) fn warmup(&self, pool: &PoolId) -> Duration {
         let pool = self.table.as_ref().and_then(|table| table.pool(pool));
         pool.map_or(Duration::ZERO, |pool| pool.warmup)
     }
 
-    /// Returns how many requests a second a cold endpoint of a pool bears.
+    /// Returns how many requests a second a cold endpoint of a pool takes.
     pub(crate) fn cold_rate(&self, pool: &PoolId) -> u32 {
         let pool = self.table.as_ref().and_then(|table| table.pool(pool));
         pool.map_or(0, |pool| pool.cold_rate)
--- a/src/router/config_stream.rs
+++ b/src/router/config_stream.rs
@@ -1,4 +1,5 @@
-//! The configuration: folding its stream, taking it over from peers, and carrying it past the log's retention.
+//! The configuration's stream: folding its records, adopting newer versions from peers, and republishing it before the
+//! log's retention drops it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,30 +15,31 @@
 use crate::router::effect::Effect;
 use crate::router::event::Entry;
 
-/// A checkpoint is due after a quarter of the log's retention, so that three more routers may fail to write one.
+/// A checkpoint is due after this fraction (a quarter) of the log's retention, which leaves time for three more routers
+/// that fail to write one.
 const CHECKPOINT_DIVISOR: u64 = 4;
 
-/// Each next router waits for this part of the retention longer.
+/// Each further router in rank waits this fraction of the retention longer.
 const TURN_DIVISOR: u64 = 32;
 
-/// How long to wait for one that was written to come back in the stream.
+/// How long to wait for a checkpoint that was written to appear in the stream before another is written.
 const RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How many records are kept that lie behind a gap: a day's changes at the size designed for.
+/// Most records buffered behind a gap: the changes of one day at the design size.
 const MAX_BUFFERED: usize = 4800;
 
-/// What a router knows of the configuration's stream besides the configuration.
+/// State of the configuration's stream, besides the configuration itself.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigStream {
-    /// Records behind a gap, which wait for a checkpoint or a peer.
+    /// Records behind a gap, which wait for a checkpoint or for a peer's configuration.
     buffered: Vec<Entry>,
-    /// When the last checkpoint was appended, or else the first record, milliseconds of the log service's clock.
+    /// When the last checkpoint was appended, or else the first record, in milliseconds of the log service's clock.
     checkpoint_ms: Option<u64>,
     written_at: Option<Instant>,
 }
 
 impl Core {
-    /// Folds records of the configuration.
+    /// Folds records of the configuration's stream.
     pub(crate) fn fold_config(&mut self, now: Instant, entries: Vec<Entry>) {
         let before = self.config.version();
         for entry in entries {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Keeps a record whose predecessors the log has let go, or starts from it if it is a checkpoint.
+    /// Buffers a record whose predecessors the log no longer has, or resumes from it if it is a checkpoint.
     fn handle_config_gap(&mut self, entry: Entry) {
         let resumed = self.config.resume(entry.offset, &entry.data);
         let at = entry.at;
@@ -84,14 +86,14 @@
         }
     }
 
-    /// Folds the records that waited for what came before them.
+    /// Folds the buffered records.
     fn fold_buffered_config(&mut self) {
         for entry in std::mem::take(&mut self.config_stream.buffered) {
             self.fold_config_entry(entry);
         }
     }
 
-    /// Takes over a configuration that a peer sent, if it is ahead.
+    /// Adopts a configuration that a peer sent, if it is newer.
     pub(crate) fn adopt_config(&mut self, now: Instant, snapshot: Snapshot) {
         match self.config.adopt(snapshot) {
             Ok(true) => {
@@ -114,10 +116,10 @@
         self.rebuild_pools(now);
     }
 
-    /// Publishes the configuration anew before the log lets go of it, if it is this router's turn.
+    /// Appends a checkpoint of the configuration before the log drops it, if it is this router's turn.
     ///
-    /// Were all routers replaced after that time, nobody would know the configuration any more, and every request would
-    /// be refused without anyone having changed anything.
+    /// Otherwise, once all routers have been replaced, none would know the configuration, and every request would be
+    /// refused although nothing was changed.
     pub(crate) fn republish_config(&mut self, now: Instant) {
         let Some(checkpoint_ms) = self.config_stream.checkpoint_ms else {
             return;
--- a/src/router/drained.rs
+++ b/src/router/drained.rs
@@ -1,7 +1,7 @@
-//! Failure domains that the operator drains: their endpoints get nothing new until they are taken back.
+//! Failure domains that the operator drains: their endpoints get no new requests until the domain is restored.
 //!
-//! A router that can't read the store hears of it from its peers' heartbeats, which carry the whole set and up to where in the
-//! operator's records it was read.
+//! A router that can't read the store learns of drains from its peers' heartbeats, which carry the whole set and the
+//! offset up to which the operator's records were read.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,21 +20,21 @@
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
 
-/// When a caller may come back all of whose endpoints are in drained failure domains: operators drain for some seconds at
+/// Retry time for callers whose endpoints are all in drained failure domains: operators drain for some seconds at
 /// least.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Which failure domains are drained.
+/// The set of drained failure domains.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DrainedDomains {
-    /// Up to which offset the operator's records were read for it.
+    /// The offset up to which the operator's records were read.
     pub(crate) as_of: u64,
-    /// The failure domains.
+    /// The drained domains.
     pub(crate) domains: IndexSet<DomainId>,
 }
 
 impl Core {
-    /// Takes over which failure domains are drained, from the store or from a peer, unless it is older than what is known.
+    /// Applies a set of drained failure domains, from the store or from a peer, if it is newer than the one in force.
     pub(crate) fn update_drained(&mut self, now: Instant, new: &DrainedDomains) {
         if new.as_of <= self.drained.as_of {
             return;
@@ -63,7 +63,8 @@
         pools.map(|pool| pool.endpoints_in(domain).count()).sum()
     }
 
-    /// Takes the endpoints of a failure domain for cold: they had no requests, and say otherwise soon if they are warm.
+    /// Marks the endpoints of a failure domain as cold: they had no requests during the drain, and soon report if they
+    /// are warm.
     fn restore_domain(&mut self, now: Instant, domain: &DomainId) {
         for (id, pool) in &self.pools {
             let warmup = self.warmup(id);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Refuses what waits for a pool all of whose endpoints are in drained failure domains.
+    /// Refuses the requests that wait for a pool all of whose endpoints are in drained failure domains.
     pub(crate) fn refuse_drained(&mut self, now: Instant) {
         let drained = self.pools.iter().filter(|(_, pool)| pool.is_drained());
         let waiting = drained.flat_map(|(_, pool)| pool.places.keys());
--- a/src/router/fleet_clock.rs
+++ b/src/router/fleet_clock.rs
@@ -1,9 +1,9 @@
-//! The times of day of a fleet's routers, as one of them hears of them.
+//! Wall clock of the fleet, from the clocks that its routers report to each other.
 //!
-//! A VM's time of day may be wrong by seconds, and be set right while the VM has no power. To its next process less time has
-//! then elapsed than has, and it would give back budget that was used. An allowance for that strands seconds of each team's
-//! demand at each loss of power. Most clocks of a fleet are never wrong in the same direction at once; so routers tell each
-//! other theirs, and go by what most of them say.
+//! A VM's wall clock may be wrong by seconds and be corrected while the VM has no power. To the VM's next process less
+//! time then seems to have passed than really has, and it would return budget that was used. An allowance for that
+//! would strand seconds of each team's demand at each loss of power. Most clocks of a fleet are never wrong in the same
+//! direction at once, so routers report theirs to each other and go by the majority.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,34 +15,34 @@
 use crate::moment::ClockReading;
 use crate::moment::Span;
 
-/// How many other routers' clocks must be known at least. Of those that are listed it must be more than half.
+/// Fewest clocks of other routers that must be known. There must also be more than half of the listed ones.
 const MIN_PEERS: usize = 2;
 
-/// Which part of the clocks is left out at either end of a span. Some VMs' clocks are set wrong, and those of VMs that were
-/// suspended fall behind; let in, each of them would widen all spans.
+/// Fraction (a quarter) of the clocks left out at either end of a span. Some VMs' clocks are set wrong, and those of
+/// VMs that were suspended fall behind; each of them would widen all spans.
 const TRIM_DIVISOR: usize = 4;
 
-/// How long a router's word of its clock holds. It may have another after a restart.
+/// How long a router's reported clock is valid. It may have another after a restart.
 const READING_TTL: Duration = Duration::from_secs(20);
 
-/// For how long after its start a router waits for the others' clocks before it goes by its own: all of them may have lost
-/// their power, and not all start at once.
+/// How long after its start a router waits for the other clocks before it goes by its own: all routers may have lost
+/// power, and they don't all start at once.
 const START_WAIT: Duration = Duration::from_secs(1);
 
 /// A VM's clock and those of the other routers.
 #[derive(Debug)]
 pub(crate) struct FleetClock {
     own: BootClock,
-    /// What time of day other routers said it was, and when.
+    /// Wall clocks that other routers reported, with the time of the report.
     readings: IndexMap<VmId, (Instant, Duration)>,
-    /// How many other routers there are; nothing before they are listed.
+    /// How many other routers there are; `None` before the VM list is known.
     peer_count: Option<usize>,
     /// What the fleet's clocks read when this process started, once enough of them are known.
     start_span: Option<Span>,
 }
 
 impl FleetClock {
-    /// Makes one that knows its own alone.
+    /// Creates a fleet clock that knows only its own VM's clock.
     pub(crate) fn new(own: BootClock) -> Self {
         Self {
             own,
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Takes over how many other routers there are.
+    /// Sets how many other routers there are.
     pub(crate) fn set_peer_count(&mut self, peer_count: usize) {
         self.peer_count = Some(peer_count);
     }
 
-    /// Takes in what time of day it is at another router; returns whether with that it is first known what the fleet's clocks
-    /// read when this process started.
+    /// Records another router's wall clock; returns whether this first makes known what the fleet's clocks read when
+    /// this process started.
     pub(crate) fn record_reading(&mut self, now: Instant, vm: &VmId, wall: Duration) -> bool {
         self.readings.insert(vm.clone(), (now, wall));
         if self.start_span.is_some() {
@@ -69,7 +69,7 @@
         self.start_span.is_some()
     }
 
-    /// Returns what the VM's own clock reads.
+    /// Returns the reading of the VM's own clock.
     pub(crate) fn own_reading(&self, now: Instant) -> ClockReading {
         ClockReading {
             own: self.own.at(now),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns what all clocks read.
+    /// Returns the reading of all clocks.
     pub(crate) fn reading(&self, now: Instant) -> ClockReading {
         ClockReading {
             fleet: self.span(now),
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Returns what the clocks read when this process started. What the fleet's read does not change with each router that is
-    /// heard of later.
+    /// Returns the reading of all clocks when this process started. The fleet's part, once known, does not change with
+    /// later reports.
     pub(crate) fn start_reading(&self, now: Instant) -> ClockReading {
         ClockReading {
             own: self.own.start(),
@@ -102,7 +102,8 @@
         self.own.at(now).uptime.saturating_sub(started)
     }
 
-    /// Returns what most clocks lie between. Before the other routers are listed nobody knows how many clocks are most of them.
+    /// Returns the span that most clocks lie within; `None` before the other routers are listed, when the size of a
+    /// majority is unknown.
     fn span(&self, now: Instant) -> Option<Span> {
         let min_peers = MIN_PEERS.max(self.peer_count? / 2 + 1);
         let readings = self.readings.values();
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -1,11 +1,12 @@
-//! Partitions: how long a silent router keeps what it holds, and how long one that is cut off may spend it.
+//! Time-outs during network partitions: when a silent router is closed, and when a router that is cut off from the log
+//! stops starting runs.
 //!
-//! What a router holds is its own until it is closed, so it may go on spending on its side of a partition, and the limit
-//! holds all the same. But once the others close it, they spend those tokens again, and its own bills are void. Its
-//! engines would then use more than was prepaid, though no more is billed. So a router that is cut off from the log
-//! stops beginning runs before the others may close it, and the two sides judge by the same signs: one that cannot be
-//! connected to is taken to be parted, and is left what it holds for as long as a partition lasts; one whose VM accepts
-//! the connection and says nothing may be frozen, and does not.
+//! A router's holdings are its own until it is closed, so it may go on spending on its side of a partition without
+//! exceeding the limit. Once the others close it, they spend those tokens again, and its own bills are void: its
+//! engines would use more than was prepaid, although no more is billed. A router that is cut off from the log therefore
+//! stops starting runs before the others may close it, and both sides decide by the same signs. A router that can't be
+//! connected to is taken to be partitioned, and keeps its holdings for as long as a partition is expected to last. One
+//! whose VM accepts connections but never answers may be frozen, and loses them sooner.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,19 +17,20 @@
 use crate::router::event::Silence;
 use crate::settings::EndMarker;
 
-/// How much shorter the silence of a router may be whose VM says that nothing listens there: heartbeats are an eighth of
-/// it apart, and two must have found that.
+/// Divisor of the silence time-out for a router whose VM refuses connections, since nothing listens there. Heartbeats
+/// are an eighth of the time-out apart, and two must have been refused.
 const REFUSED_DIVISOR: u32 = 4;
 
-/// How much longer a router may be mute while the VM list shows its VM as live: a pause of some seconds passes by.
+/// Factor on the silence time-out for a router that does not answer while the VM list shows its VM as live, so that
+/// pauses of a few seconds don't get it closed.
 const MUTE_FACTOR: u32 = 3;
 
-/// How much sooner a router stops than the others may close it, in quarters of the time: they may have heard it later
-/// than it heard them.
+/// How many quarters of the time-out a router that is cut off goes on for before it stops starting runs. The margin is
+/// there because the others may have heard it later than it heard them.
 const STOP_QUARTERS: u32 = 3;
 
 impl Core {
-    /// Returns how long a silent router is left alone.
+    /// Returns how long a router may be silent before it is closed.
     pub(crate) fn silence_timeout(&self, now: Instant, vm: &VmId) -> Duration {
         let silence = self.tuning.silence;
         let seen = self.members.silence(now, vm);
@@ -40,10 +42,11 @@
         }
     }
 
-    /// Returns how long a router is left alone that is listed and accepts connections, but says nothing.
+    /// Returns how long a router that is listed and accepts connections, but does not answer, may go on before it is
+    /// closed.
     ///
-    /// It may be frozen, and then its tokens and its requests are better taken from it; or what stands between may
-    /// swallow what it says, and then it serves its callers. Each user has one of these at heart.
+    /// It may be frozen, in which case its tokens and requests should be freed early. Or the network may be dropping
+    /// its replies, in which case it is still serving its callers. `Lean` decides which case takes precedence.
     fn mute_timeout(&self) -> Duration {
         match self.tuning.lean {
             Lean::Strict => self.tuning.silence * MUTE_FACTOR,
@@ -51,14 +54,15 @@
         }
     }
 
-    /// Returns whether a run may begin whose claim the log does not take.
+    /// Returns whether a run may start although its claim can't be appended to the log.
     pub(crate) fn may_run_unclaimed(&self, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.members.log_heard);
         let limit = self.isolation_limit(now);
         self.can_replicate(now) && limit.is_none_or(|limit| since < limit)
     }
 
-    /// Returns how long this router may go without the log, if some router may have it and close this one.
+    /// Returns how long this router may go without the log before it stops starting runs; `None` if it hears all of its
+    /// peers, so that none of them would close it.
     fn isolation_limit(&self, now: Instant) -> Option<Duration> {
         let silent: Vec<_> = self
             .members
@@ -79,10 +83,10 @@
         Some(timeout * STOP_QUARTERS / 4)
     }
 
-    /// Returns whether others can keep what this one cannot append.
+    /// Returns whether peers can hold replicas of the batches that this router cannot append.
     ///
-    /// Without that the end of no answer could go out before the log is back, so that a run would be of no use to its
-    /// caller, who does better elsewhere.
+    /// Without a replica no answer could be completed before the log is back, so a run would be of no use to its
+    /// caller, who is better served by another router.
     fn can_replicate(&self, now: Instant) -> bool {
         let peers = self.members.roster.peers();
         let mut peers = peers.iter();
@@ -98,10 +102,11 @@
         }
     }
 
-    /// Returns whether a peer's word that it keeps a bill counts.
+    /// Returns whether a peer's confirmation that it holds a replica of a bill counts.
     ///
-    /// A failure domain goes down as a whole, so a keeper in this router's own adds little. Where refusals weigh more
-    /// than a bill that may be lost with a domain, it counts all the same: a domain that is cut off has no other.
+    /// A failure domain goes down as a whole, so a replica within this router's own domain adds little and does not
+    /// count under `Lean::Strict`. Under `Lean::Available` it does: a domain that is cut off has no other peers, and
+    /// refusals weigh more than a bill that may be lost with the domain.
     pub(crate) fn counts_as_replica(&self, peer: &VmId) -> bool {
         let domain = self.members.domain(peer);
         match self.tuning.lean {
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to endpoints, by one leader a pool.
+//! Orders to endpoints, issued by one leader per pool.
 //!
-//! An order states the condition that is wanted, not a step towards it, and carries the offset of its sender's leading
-//! record as a fencing number. An endpoint that checks refuses the order of a leader that was replaced while it was
-//! paused. One that does not check may follow such an order, and its next load report shows that; the leader in office
-//! then orders again, so that it ends in the wanted condition all the same.
+//! An order states the wanted condition, not a step towards it, and carries the offset of its sender's leader record as
+//! a fencing number. An endpoint that checks this number refuses orders of a leader that was replaced while it was
+//! paused. One that does not check may follow such an order; its next load report then shows that, and the current
+//! leader issues its order again, so that the endpoint still ends up in the wanted condition.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,24 +23,24 @@
 use crate::router::effect::Effect;
 use crate::router::effect::Order;
 
-/// How often the orders are looked over: an endpoint's report comes once a second.
+/// How often endpoints are checked against the orders: their load reports come once a second.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an endpoint may take to follow an order before it is given again: loading a model takes tens of seconds, and
-/// the weight store is rate-limited.
+/// How long an endpoint may take to carry out an order before it is issued again: loading a model takes tens of
+/// seconds, and the weight store is rate-limited. A request to lead a pool is repeated after the same time.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a router has ordered.
+/// The orders that this router has issued.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
     checked_at: Option<Instant>,
     issued: IndexMap<VmId, (Instant, Vec<ModelId>)>,
-    /// Since when this router has been asking to lead a pool.
+    /// When this router last asked to lead a pool.
     lead_asked: IndexMap<PoolId, Instant>,
 }
 
 impl Core {
-    /// Leads pools whose turn is this router's, and orders what their endpoints lack.
+    /// Asks to lead pools that have no leader, and issues orders for the pools that this router leads.
     pub(crate) fn issue_orders(&mut self, now: Instant) {
         let due = self
             .orders
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Asks to lead a pool, if this router is the first in that pool's order.
+    /// Asks to lead a pool if this router ranks first for it.
     fn request_lead(&mut self, now: Instant, pool: PoolId) {
         let score = |router: Incarnation| {
             let name = format!("{pool}/{router}");
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -1,4 +1,4 @@
-//! Log outages: other routers keep what this one cannot append.
+//! Log outages: batches that cannot be appended are replicated to other routers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,32 +23,32 @@
 use crate::router::request::State;
 use crate::settings::EndMarker;
 
-/// How often peers are sent what is new. Callers wait this long for the end of their answers, and at 100 bytes a record
-/// a batch of a busy router's records stays small.
+/// How often new records are sent to peers. Callers wait this long for their answers to be completed, and at 100 bytes
+/// a record the batches of a busy router stay small.
 const REPLICATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many records a batch takes that is left with peers: while it grows it is sent again with each, and an hour of a few
-/// requests a second makes some hundred batches, which are appended within seconds when the log is back.
+/// Most records in a batch that is replicated. A batch is sent again as it grows, and an hour at a few requests a
+/// second makes some hundred batches, which are appended within seconds when the log is back.
 const REPLICA_RECORDS: usize = 64;
 
-/// How far a router's batches go: the number of the last one, and how many records that has.
+/// Extent of a router's batches: the number of the last one, and how many records it has.
 type Extent = (Sequence, usize);
 
-/// What a router has left with others in a log outage.
+/// State of replication during a log outage.
 #[derive(Debug, Default)]
 pub(crate) struct Outage {
     sent_at: Option<Instant>,
     sent_records: usize,
     active: bool,
-    /// What each peer stored, of the incarnation that runs now.
+    /// The extent that each peer holds of the running incarnation's batches.
     replicas: IndexMap<VmId, Extent>,
 }
 
 impl Core {
-    /// Leaves what waits for the log with other routers, so that it outlives this one.
+    /// Replicates the records that wait for the log to other routers, so that they survive this one.
     ///
-    /// A router that dies in a log outage takes its bills with it, though its callers have their answers. With the
-    /// batches at routers of other failure domains, the end of an answer may go out before the log is back.
+    /// Without this, a router that dies in a log outage would lose bills of answers that its callers have. With
+    /// replicas of the batches in other failure domains, an answer may be completed before the log is back.
     pub(crate) fn replicate(&mut self, now: Instant) {
         let outage = self.in_outage(now);
         if outage != self.outage.active {
@@ -79,10 +79,10 @@
         self.advance_replicated(now);
     }
 
-    /// Leaves with a peer what it does not keep yet.
+    /// Sends a peer the batches that it does not hold yet.
     ///
-    /// The last batch that it stored may have grown since, so that one goes again. Were all sent each time, what an hour's
-    /// outage gathers would be sent some thousand times.
+    /// The last batch that it holds may have grown since, so that one is sent again. Sending all of them each time
+    /// would repeat what gathers in an hour's outage some thousand times.
     fn replicate_to(&mut self, peer: Peer) {
         let kept = self.outage.replicas.get(&peer.vm).copied();
         let Some((last, records)) = self.appender.extent() else {
@@ -103,15 +103,15 @@
         self.effects.push(Effect::Keep(batches, vec![peer]));
     }
 
-    /// Takes a peer's word that it lacks what it was left before, as one that began anew does.
+    /// Handles a peer's report that it lacks earlier batches, as it does after a restart.
     pub(crate) fn drop_replica(&mut self, peer: &VmId) {
         self.outage.replicas.shift_remove(peer);
     }
 
-    /// Keeps a peer's batches, or says that it is no use.
+    /// Stores a peer's batches, or refuses them where that would be of no use.
     ///
-    /// A router that was closed while it was cut off may not know it yet. Were its batches kept all the same, it would
-    /// let the ends of answers go out whose bills are void.
+    /// A router that was closed while it was cut off may not know of it yet. If its batches were stored all the same,
+    /// it would complete answers whose bills are void.
     pub(crate) fn store_replica(&mut self, id: AdminId, batches: KeptBatches) {
         let state = self.ledger.router(batches.router);
         let folded = state.filter(|state| !state.closed).map(|s| s.sequence);
@@ -120,7 +120,7 @@
         self.effects.push(Effect::Answer(id, status, Value::Null));
     }
 
-    /// Takes a peer's word that it stored batches of this router.
+    /// Handles a peer's confirmation that it holds batches of this router.
     pub(crate) fn handle_replica_ack(
         &mut self,
         now: Instant,
@@ -136,7 +136,7 @@
         self.advance_replicated(now);
     }
 
-    /// Goes on with what is kept by all whose word is needed.
+    /// Continues the requests whose records are replicated to all peers that must confirm them.
     fn advance_replicated(&mut self, now: Instant) {
         let Some(replicated) = self.replicated_extent() else {
             return;
@@ -163,11 +163,12 @@
         }
     }
 
-    /// Returns how far the batches go that are kept by all whose word is needed.
+    /// Returns the extent of the batches that are replicated to all peers that must confirm them.
     ///
-    /// Where overspend weighs more, that is every router that may close this one or refuse a retry: one that does not
+    /// Under `Lean::Strict`, every router that may close this one or refuse a retry must confirm: one that does not
     /// know of a claim would say that its request was not run, and one that does not know of a bill would close this
-    /// router before it. Where refusals weigh more, one keeper is enough, and a partition may bring both.
+    /// router before the bill is appended. Under `Lean::Available` one replica is enough, and a partition may cause
+    /// both faults.
     fn replicated_extent(&self) -> Option<Extent> {
         let replicas = &self.outage.replicas;
         let open_peers = self.open_peers();
@@ -190,12 +191,12 @@
             .collect()
     }
 
-    /// Forgets what peers keep, for an incarnation that is over.
+    /// Drops the replication state of an incarnation that is closed.
     pub(crate) fn clear_replicas(&mut self) {
         self.outage.replicas.clear();
     }
 
-    /// Lets the end of an answer go out whose bill others keep.
+    /// Completes an answer whose bill is replicated.
     fn release_answer_end(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && matches!(
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -1,7 +1,8 @@
-//! Whether the configuration in force here is the newest one, where a platform hands it over whole.
+//! Tracks whether the configuration in force here is the newest one, where a platform provides it as a whole.
 //!
-//! A router whose calls to the store stand behind its callers' answers, or that is parted from the store, goes on with an
-//! old configuration. Its peers say in their heartbeats which one they have, so that it can ask one of them for it.
+//! A router whose calls to the store queue behind its callers' answers, or that is cut off from the store, goes on with
+//! an old configuration. Heartbeats carry the version that each peer has, so that the router can fetch a newer one from
+//! a peer.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,42 +20,42 @@
 use crate::router::problem::ProblemKind;
 use crate::router::problem::Ran;
 
-/// How long the store may take to bring what a peer has already.
+/// How long the store may take to deliver a version that a peer already has.
 const STORE_GRACE: Duration = Duration::from_millis(250);
 
-/// How long after a question to a peer the next one goes out: answers take a second at most.
+/// Minimum time between requests to peers: answers take a second at most.
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When a caller may come back that asked for what a newer configuration may allow.
+/// Retry time for callers whose request a newer configuration may allow.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What a router knows of configurations newer than its own.
+/// What is known of configurations newer than the one in force.
 #[derive(Debug, Default)]
 pub(crate) struct TableWatch {
-    /// When the store last had no newer one. Its answer may have come seconds later.
+    /// When the store was last known to have no newer one. Its answer may have come seconds later.
     confirmed_at: Option<Instant>,
     newer: Option<NewerTable>,
     /// When a peer was last asked.
     asked_at: Option<Instant>,
 }
 
-/// A configuration that a peer has.
+/// A newer configuration that peers have.
 #[derive(Debug)]
 struct NewerTable {
     version: TableVersion,
-    /// Who has it and did not fail to send it, the next one to be asked first.
+    /// The VMs of peers that have it and did not fail to send it, the next one to ask first.
     sources: IndexSet<VmId>,
-    /// When a newer one than that in force was first heard of.
+    /// When a version newer than the one in force was first reported.
     heard_at: Instant,
 }
 
 impl TableWatch {
-    /// Notes that the store had no newer configuration at a moment.
+    /// Records that the store had no newer configuration at `at`.
     fn confirm(&mut self, at: Instant) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// Notes which configuration a peer has.
+    /// Records which version a peer has.
     fn note_version(&mut self, now: Instant, own: TableVersion, heartbeat: &Heartbeat) {
         if heartbeat.table <= own {
             return;
@@ -73,24 +74,24 @@
         }
     }
 
-    /// Notes which configuration is in force.
+    /// Records which version is now in force.
     pub(crate) fn applied(&mut self, version: TableVersion) {
         self.newer.take_if(|newer| newer.version <= version);
         self.asked_at = None;
     }
 
-    /// Returns whether there may be a newer configuration; `limit` is how long the store's last word holds.
+    /// Returns whether there may be a newer configuration; `limit` is how long the store's last answer is valid.
     fn may_be_behind(&self, now: Instant, limit: Duration) -> bool {
         self.newer.is_some() || self.confirmed_at.is_none_or(|at| now > at + limit)
     }
 
-    /// Returns how long ago the store last had no newer one.
+    /// Returns how long ago the store was last known to have no newer one.
     fn age(&self, now: Instant) -> Option<Duration> {
         self.confirmed_at
             .map(|at| now.saturating_duration_since(at))
     }
 
-    /// Returns who is to be asked for a newer configuration, if it is time for that.
+    /// Returns the peer to ask for a newer configuration, if a request is due.
     fn next_source(&mut self, now: Instant) -> Option<VmId> {
         let newer = self.newer.as_mut()?;
         if now < newer.heard_at + STORE_GRACE
@@ -99,13 +100,13 @@
             return None;
         }
         let vm = newer.sources.shift_remove_index(0)?;
-        // Asked again after all others that have it.
+        // It is asked again only after all others that have it.
         newer.sources.insert(vm.clone());
         self.asked_at = Some(now);
         Some(vm)
     }
 
-    /// Notes that a peer can't be asked, or did not send what it has; another one may be asked at once.
+    /// Removes a peer that can't be asked, or that did not send its configuration; another may be asked at once.
     fn remove_source(&mut self, vm: &VmId) {
         if let Some(newer) = &mut self.newer {
             newer.sources.shift_remove(vm);
@@ -115,26 +116,26 @@
 }
 
 impl Core {
-    /// Returns the version of the configuration in force, 0 where there is none yet.
+    /// Returns the version of the configuration in force; 0 if there is none yet.
     pub(crate) fn table_version(&self) -> TableVersion {
         self.table
             .as_ref()
             .map_or_else(TableVersion::default, |table| table.version)
     }
 
-    /// Takes note that the store, which has just answered, had no newer configuration at a moment.
+    /// Handles an answer by which the store had no newer configuration at `at`.
     pub(crate) fn confirm_table(&mut self, now: Instant, at: Instant) {
         self.table_watch.confirm(at);
         self.funds.store_answered(now);
     }
 
-    /// Takes note of a peer's configuration.
+    /// Handles the version in a peer's heartbeat.
     pub(crate) fn note_peer_table(&mut self, now: Instant, heartbeat: &Heartbeat) {
         let own = self.table_version();
         self.table_watch.note_version(now, own, heartbeat);
     }
 
-    /// Asks a peer for its configuration, where the store has not brought it.
+    /// Asks a peer for its newer configuration if the store has not delivered it.
     pub(crate) fn fetch_table(&mut self, now: Instant) {
         while let Some(vm) = self.table_watch.next_source(now) {
             let Some(peer) = self.members.roster.peer(&vm) else {
@@ -147,13 +148,13 @@
         }
     }
 
-    /// Takes note that a peer did not send its configuration.
+    /// Handles a peer's failure to send its configuration.
     pub(crate) fn handle_table_unsent(&mut self, now: Instant, vm: &VmId) {
         self.table_watch.remove_source(vm);
         self.fetch_table(now);
     }
 
-    /// Returns whether a newer configuration than that in force here may hold elsewhere.
+    /// Returns whether other routers may have a newer configuration.
     pub(crate) fn may_be_behind(&self, now: Instant) -> bool {
         match self.tuning.accounting {
             Accounting::Grants(tuning) => self.table_watch.may_be_behind(now, tuning.confirm),
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Returns a refusal by the configuration, or one that promises less where a newer configuration may allow the request.
+    /// Returns a refusal by the configuration, or a retryable one if a newer configuration may allow the request.
     pub(crate) fn deny(&mut self, now: Instant, kind: ProblemKind, detail: &str) -> Box<Problem> {
         let behind = self.may_be_behind(now);
         info!(
