--- a/src/router/appender.rs
+++ b/src/router/appender.rs
@@ -47,7 +47,7 @@
     batch: Batch,
     tickets: Vec<T>,
     state: BatchState,
-    first_sent: Option<Instant>,
+    first_sent_at: Option<Instant>,
 }
 
 /// State of a batch on its way to the log.
@@ -99,7 +99,7 @@
     ///
     /// A batch that stays without a verdict indicates an outage of the log service.
     pub(crate) fn stalled_since(&self) -> Option<Instant> {
-        self.sealed.front().and_then(|s| s.first_sent)
+        self.sealed.front().and_then(|s| s.first_sent_at)
     }
 
     /// Returns the batch to append now, if there is one.
@@ -109,7 +109,10 @@
         let paced = self.sent_at.is_none_or(|at| now >= at + interval);
         // A batch takes records until it is sent. If it were sealed with the first record, the others would go into the
         // next batch, and each claim would wait one interval longer.
-        let unsent = self.sealed.front().is_none_or(|s| s.first_sent.is_none());
+        let unsent = self
+            .sealed
+            .front()
+            .is_none_or(|s| s.first_sent_at.is_none());
         if paced && unsent {
             self.seal(MAX_RECORDS);
         }
@@ -124,7 +127,7 @@
             return None;
         }
         front.state = BatchState::Sent(now);
-        front.first_sent.get_or_insert(now);
+        front.first_sent_at.get_or_insert(now);
         self.sent_at = Some(now);
         Some(Append {
             sequence: front.batch.sequence,
@@ -140,7 +143,9 @@
     pub(crate) fn seal(&mut self, limit: usize) {
         while !self.pending.is_empty() {
             let room = match self.sealed.back() {
-                Some(last) if last.first_sent.is_none() => limit.saturating_sub(last.tickets.len()),
+                Some(last) if last.first_sent_at.is_none() => {
+                    limit.saturating_sub(last.tickets.len())
+                }
                 _ => 0,
             };
             if room == 0 {
@@ -165,7 +170,7 @@
             },
             tickets: Vec::new(),
             state: BatchState::Due,
-            first_sent: None,
+            first_sent_at: None,
         });
     }
 
--- a/src/router/closing.rs
+++ b/src/router/closing.rs
@@ -37,9 +37,9 @@
     /// When this router began to close it.
     started_at: Instant,
     /// When the batches replicated here were last sent to the log.
-    batches_sent: Option<Instant>,
+    batches_sent_at: Option<Instant>,
     /// When its close record was last sent to the log.
-    record_sent: Option<Instant>,
+    record_sent_at: Option<Instant>,
 }
 
 impl Core {
@@ -98,8 +98,8 @@
         let ongoing = self.members.closing.get(&router).copied();
         let mut closing = ongoing.unwrap_or(Closing {
             started_at: now,
-            batches_sent: None,
-            record_sent: None,
+            batches_sent_at: None,
+            record_sent_at: None,
         });
         if ongoing.is_none() {
             warn!(event = "closing", %router, left_here = missing.is_some());
@@ -107,19 +107,19 @@
         // An append may fail, so the batches are sent again until they are folded.
         if let Some(kept) = missing
             && closing
-                .batches_sent
+                .batches_sent_at
                 .is_none_or(|at| now >= at + RESEND_INTERVAL)
         {
-            closing.batches_sent = Some(now);
+            closing.batches_sent_at = Some(now);
             let batches = kept.batches.iter().cloned().map(Effect::AppendKept);
             self.effects.extend(batches);
         }
         let waited = missing.is_none() || now >= closing.started_at + FOLD_TIMEOUT;
         let due = closing
-            .record_sent
+            .record_sent_at
             .is_none_or(|at| now >= at + FOLD_TIMEOUT);
         if ongoing.is_some() && waited && due {
-            closing.record_sent = Some(now);
+            closing.record_sent_at = Some(now);
             self.append_close(router);
         }
         self.members.closing.insert(router, closing);
