--- a/src/router/drained.rs
+++ b/src/router/drained.rs
@@ -75,12 +75,12 @@
     }
 
     /// Refuses the requests that wait for a pool all of whose endpoints are in drained failure domains.
-    pub(crate) fn refuse_drained(&mut self, now: Instant) {
+    pub(crate) fn refuse_drained_pools(&mut self, now: Instant) {
         let drained = self.pools.iter().filter(|(_, pool)| pool.is_drained());
         let waiting = drained.flat_map(|(_, pool)| pool.places.keys());
         let waiting: Vec<_> = waiting.copied().collect();
         for id in waiting {
-            self.refuse_for_drain(now, id);
+            self.refuse_drained_request(now, id);
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Refuses a request whose pool is drained.
-    pub(crate) fn refuse_for_drain(&mut self, now: Instant, id: RequestId) {
+    pub(crate) fn refuse_drained_request(&mut self, now: Instant, id: RequestId) {
         let detail = "the failure domains of all its endpoints are drained";
         let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
         self.refuse_with(now, id, problem.with_retry(RETRY_AFTER));
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -185,7 +185,7 @@
             pool.picker.chooser.share(routers.len());
         }
         self.update_cold_shares(now);
-        self.refuse_drained(now);
+        self.refuse_drained_pools(now);
         self.serve_all_queues(now);
     }
 
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -30,7 +30,7 @@
         };
         let name = request.pool.clone();
         if self.is_drained(&name) {
-            return self.refuse_for_drain(now, id);
+            return self.refuse_drained_request(now, id);
         }
         let Some(pool) = self.pools.get_mut(&name) else {
             self.refuse(now, id, ProblemKind::NoRoute, "the rule's pool is gone");
