--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -16,8 +16,8 @@
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
 
-/// Most batches after a checkpoint: three minutes of a busy log service, which at 40 records a batch take a starting
-/// router about two seconds to fold.
+/// How many batches may follow a checkpoint before the next is due: three minutes of a busy log service, which at 40
+/// records a batch take a starting router about two seconds to fold.
 const MAX_BATCHES: u64 = 50_000;
 
 /// How long to wait before a checkpoint that was not confirmed is written again.
@@ -42,7 +42,7 @@
         self.checkpointed = Some(now);
         let parts = split(&self.ledger, PART_SIZE);
         if parts.is_empty() {
-            // Without this warning the log would drop the last checkpoint unnoticed until the whole fleet restarts.
+            // The log will drop the last checkpoint; without this warning nobody would notice until the whole fleet restarts.
             warn!(
                 event = "checkpoint-too-large",
                 keys = self.ledger.keys().count()
