--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -42,7 +42,8 @@
         self.checkpointed = Some(now);
         let parts = split(&self.ledger, PART_SIZE);
         if parts.is_empty() {
-            // The log will drop the last checkpoint; without this warning nobody would notice until the whole fleet restarts.
+            // The log will drop the last checkpoint. Without this warning nobody would notice until the whole fleet
+            // restarts.
             warn!(
                 event = "checkpoint-too-large",
                 keys = self.ledger.keys().count()
