--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Writing checkpoints of the ledger when it is this router's turn.
+//! Writes checkpoints of the ledger when it is this router's turn.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,31 +16,34 @@
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
 
-/// How many batches may follow a checkpoint: three minutes of a log service that is busy, and with 40 records a batch
-/// about two seconds' work for a fresh router.
-const BATCHES: u64 = 50_000;
+/// How many batches may follow a checkpoint before the next is due: three minutes of a busy log service, which at 40
+/// records a batch take a starting router about two seconds to fold.
+const MAX_BATCHES: u64 = 50_000;
 
 /// How long to wait before a checkpoint that was not confirmed is written again.
-const AGAIN: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
 impl Core {
     /// Writes a checkpoint if it is this router's turn.
     pub(crate) fn write_checkpoint(&mut self, now: Instant) {
-        let tried = self.checkpointed.is_some_and(|at| now < at + AGAIN);
-        if tried || now < self.first_checkpoint || !self.serving() || self.in_outage(now) {
+        let recent = self
+            .checkpointed
+            .is_some_and(|at| now < at + RETRY_INTERVAL);
+        if recent || now < self.first_checkpoint || !self.serving() || self.in_outage(now) {
             return;
         }
         let schedule = Schedule {
             retention: millis(self.tuning.retention),
-            records: BATCHES,
+            records: MAX_BATCHES,
         };
-        if !schedule.is_due(&self.ledger, self.me, self.log_time(now)) {
+        if !schedule.is_due(&self.ledger, self.me, self.log_time_ms(now)) {
             return;
         }
         self.checkpointed = Some(now);
         let parts = split(&self.ledger, PART_SIZE);
         if parts.is_empty() {
-            // Unsaid, the log would let go of the last checkpoint, and nobody would know until a fleet restarts.
+            // The log will drop the last checkpoint. Without this warning nobody would notice until the whole fleet
+            // restarts.
             warn!(
                 event = "checkpoint-too-large",
                 keys = self.ledger.keys().count()
@@ -53,14 +56,14 @@
             .push(Effect::Checkpoint(self.ledger.next(), parts));
     }
 
-    /// Has the others know that a checkpoint stands whole.
-    pub(crate) fn checkpoint_written(&mut self, as_of: Offset, first: Offset) {
+    /// Appends the record by which other routers learn that a checkpoint is complete.
+    pub(crate) fn append_checkpoint_record(&mut self, as_of: Offset, first: Offset) {
         let record = Record::Checkpoint { as_of, first };
         self.appender.push(record, Ticket::Other);
     }
 
-    /// Returns the log service's time, as far as it can be told: that of the last record, and what passed since.
-    pub(crate) fn log_time(&self, now: Instant) -> u64 {
+    /// Estimates the log service's time in milliseconds: that of the last record, plus the time since it was folded.
+    pub(crate) fn log_time_ms(&self, now: Instant) -> u64 {
         let since = self
             .folded
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -30,10 +30,10 @@
 use crate::ledger::Ledger;
 use crate::ledger::Record;
 use crate::moment::BootClock;
+use crate::router::appender::AppendTiming;
 use crate::router::appender::Appender;
-use crate::router::appender::Pace;
 use crate::router::cold::ColdEndpoints;
-use crate::router::configure::ConfigStream;
+use crate::router::config_stream::ConfigStream;
 use crate::router::drained::DrainedDomains;
 use crate::router::effect::Effect;
 use crate::router::event::AdminId;
@@ -61,7 +61,7 @@
     /// Which user's measure its policies lean to.
     pub(crate) lean: ConsistencyMode,
     /// How records are gathered into appends.
-    pub(crate) pace: Pace,
+    pub(crate) pace: AppendTiming,
     /// How long a batch may go without its verdict before the log counts as down.
     pub(crate) outage: Duration,
     /// When the end of an answer goes out while the log is down.
@@ -304,30 +304,30 @@
             Event::LedgerEntries(entries) => self.fold_ledger(now, entries),
             Event::ConfigEntries(entries) => self.fold_config(now, entries),
             Event::LedgerGone => self.fetch_ledger(now),
-            Event::Checkpointed { as_of, first } => self.checkpoint_written(as_of, first),
+            Event::Checkpointed { as_of, first } => self.append_checkpoint_record(as_of, first),
             Event::CaughtUp => self.handle_caught_up(now),
             Event::LedgerSnapshot(ledger) => self.adopt_ledger(now, *ledger),
             Event::ConfigSnapshot(snapshot) => self.adopt_config(now, *snapshot),
             Event::VmList(list) => self.vm_list(now, list),
             Event::Heard(beat) => self.heard(now, beat),
             Event::Unheard(vm, silence) => self.members.unheard(now, vm, silence),
-            Event::Keep(id, batches) => self.keep(id, batches),
+            Event::Keep(id, batches) => self.store_replica(id, batches),
             Event::Kept {
                 peer,
                 router,
                 last,
                 records,
-            } => self.kept(now, peer, router, (last, records)),
-            Event::Unkept(peer) => self.unkept(&peer),
+            } => self.handle_replica_ack(now, peer, router, (last, records)),
+            Event::Unkept(peer) => self.drop_replica(&peer),
             Event::Checked(vm, passed) => self.handle_endpoint_check(now, &vm, passed),
             Event::Load(vm, load) => self.handle_endpoint_load(now, &vm, &load),
             Event::Cache(vm, events) => self.handle_cache_events(&vm, &events),
-            Event::Admin(id, request) => self.admin(now, id, request),
+            Event::Admin(id, request) => self.handle_admin(now, id, request),
             Event::Table(table) => self.apply_table(now, table),
-            Event::DrainedDomains(drained) => self.take_drained(now, &drained),
-            Event::Cold(words) => self.endpoints_cold(now, &words),
-            Event::TableUnsent(vm) => self.table_unsent(now, &vm),
-            Event::TableConfirmed(at) => self.table_confirmed(now, at),
+            Event::DrainedDomains(drained) => self.update_drained(now, &drained),
+            Event::Cold(words) => self.handle_cold_reports(now, &words),
+            Event::TableUnsent(vm) => self.handle_table_unsent(now, &vm),
+            Event::TableConfirmed(at) => self.confirm_table(now, at),
             Event::Grants(event) => self.handle_grant_event(now, event),
             Event::Reads(reading) => self.record_peer_prompt(now, &reading),
             Event::Given(id, gift) => self.accept_gift(id, &gift),
@@ -335,7 +335,7 @@
             Event::LoanAsked(id, ask) => self.handle_loan_ask(now, id, &ask),
             Event::Lent(ask, amount) => self.funds.record_loan_answer(now, &ask, amount),
             Event::Tuned(tuning) => self.tune(*tuning),
-            Event::Drain => self.drain(now),
+            Event::Drain => self.begin_drain(now),
             Event::Paused => self.paused(now),
             Event::Tick => self.tick(now),
         }
@@ -357,7 +357,7 @@
 
     /// Returns when it must be called though nothing happens.
     pub(crate) fn wake(&self) -> Option<Instant> {
-        self.appender.wake()
+        self.appender.next_poll()
     }
 
     /// Returns the offset that follows the last record folded.
@@ -444,12 +444,12 @@
         self.recheck_contended(now);
         self.rebalance_holdings(now);
         self.beat(now);
-        self.close_dead(now);
+        self.close_dead_routers(now);
         self.replicate(now);
         self.tick_pools(now);
         self.write_checkpoint(now);
-        self.carry_config(now);
-        self.give_orders(now);
-        self.go_on_draining(now);
+        self.republish_config(now);
+        self.issue_orders(now);
+        self.finish_drain(now);
     }
 }
--- a/src/router/ledger_stream.rs
+++ b/src/router/ledger_stream.rs
@@ -64,7 +64,7 @@
             return;
         }
         if batch.router == self.me && !is_duplicate(&verdicts) {
-            let resolved = self.appender.folded(batch.sequence, verdicts);
+            let resolved = self.appender.take_verdicts(batch.sequence, verdicts);
             for (ticket, verdict) in resolved {
                 self.handle_verdict(now, ticket, verdict);
             }
@@ -97,7 +97,7 @@
                     purse.end_debit(amount);
                 }
             }
-            Ticket::TopUp(id, _) => self.top_up_verdict(id, &verdict),
+            Ticket::TopUp(id, _) => self.answer_top_up(id, &verdict),
             Ticket::CloseSelf => self.effects.push(Effect::Exit { cut: false }),
             Ticket::Other => {}
         }
@@ -112,7 +112,7 @@
         landed: bool,
     ) {
         if router == self.me {
-            self.appender.answered(now, sequence, landed);
+            self.appender.handle_append_result(now, sequence, landed);
         }
     }
 
@@ -157,7 +157,7 @@
         let has_predecessor = routers.any(|(_, state)| !state.closed && state.vm == self.tuning.vm);
         drop(routers);
         let waiting =
-            has_predecessor && !self.closers().is_empty() && now < caught + PREDECESSOR_TIMEOUT;
+            has_predecessor && !self.open_peers().is_empty() && now < caught + PREDECESSOR_TIMEOUT;
         if !waiting {
             self.caught = None;
             self.open();
@@ -196,7 +196,7 @@
         let fresh = Appender::new(self.me, self.tuning.pace);
         let abandoned = std::mem::replace(&mut self.appender, fresh);
         self.purses.clear();
-        self.forget_kept();
+        self.clear_replicas();
         let draining = matches!(self.phase, Phase::Draining { .. });
         if draining {
             let cut = !self.requests.is_empty();
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to endpoints, by one leader a pool.
+//! Orders to endpoints, issued by one leader per pool.
 //!
-//! An order states the condition that is wanted, not a step towards it, and carries the offset of its sender's leading
-//! record as a fencing number. An endpoint that checks refuses the order of a leader that was replaced while it was
-//! paused. One that does not check may follow such an order, and its next load report shows that; the leader in office
-//! then orders again, so that it ends in the wanted condition all the same.
+//! An order states the wanted condition, not a step towards it, and carries the offset of its sender's leader record as
+//! a fencing number. An endpoint that checks this number refuses orders of a leader that was replaced while it was
+//! paused. One that does not check may follow such an order; its next load report then shows that, and the current
+//! leader issues its order again, so that the endpoint still ends up in the wanted condition.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,30 +23,33 @@
 use crate::router::effect::Effect;
 use crate::router::effect::Order;
 
-/// How often the orders are looked over: an endpoint's report comes once a second.
-const EVERY: Duration = Duration::from_secs(1);
+/// How often endpoints are checked against the orders: their load reports come once a second.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an endpoint may take to follow an order before it is given again: loading a model takes tens of seconds, and
-/// the weight store is rate-limited.
-const FOLLOW: Duration = Duration::from_secs(30);
+/// How long an endpoint may take to carry out an order before it is issued again: loading a model takes tens of
+/// seconds, and the weight store is rate-limited. A request to lead a pool is repeated after the same time.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a router has ordered.
+/// The orders that this router has issued.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
-    looked: Option<Instant>,
-    given: IndexMap<VmId, (Instant, Vec<ModelId>)>,
-    /// Since when this router has been asking to lead a pool.
-    asked: IndexMap<PoolId, Instant>,
+    checked_at: Option<Instant>,
+    issued: IndexMap<VmId, (Instant, Vec<ModelId>)>,
+    /// When this router last asked to lead a pool.
+    lead_asked: IndexMap<PoolId, Instant>,
 }
 
 impl Core {
-    /// Leads pools whose turn is this router's, and orders what their endpoints lack.
-    pub(crate) fn give_orders(&mut self, now: Instant) {
-        let due = self.orders.looked.is_none_or(|at| now >= at + EVERY);
+    /// Asks to lead pools that have no leader, and issues orders for the pools that this router leads.
+    pub(crate) fn issue_orders(&mut self, now: Instant) {
+        let due = self
+            .orders
+            .checked_at
+            .is_none_or(|at| now >= at + CHECK_INTERVAL);
         if !due || !self.serving() || self.in_outage(now) {
             return;
         }
-        self.orders.looked = Some(now);
+        self.orders.checked_at = Some(now);
         let wanted: Vec<_> = self
             .config
             .pools()
@@ -58,15 +61,15 @@
         for (pool, models) in wanted {
             match self.ledger.leader(&pool) {
                 Some((leader, fence)) if leader == self.me => {
-                    self.order(now, &pool, &models, fence.0);
+                    self.order_models(now, &pool, &models, fence.0);
                 }
                 Some((leader, _)) if self.ledger.is_open(leader) => {}
-                _ => self.ask_to_lead(now, pool),
+                _ => self.request_lead(now, pool),
             }
         }
     }
 
-    fn order(&mut self, now: Instant, name: &PoolId, models: &[ModelId], fence: u64) {
+    fn order_models(&mut self, now: Instant, name: &PoolId, models: &[ModelId], fence: u64) {
         let Some(pool) = self.pools.get(name) else {
             return;
         };
@@ -74,16 +77,16 @@
             let Some(loaded) = pool.loaded_models.get(vm) else {
                 continue;
             };
-            let lacks = models.iter().any(|model| !loaded.contains(model));
+            let incomplete = models.iter().any(|model| !loaded.contains(model));
             let recent = self
                 .orders
-                .given
+                .issued
                 .get(vm)
-                .is_some_and(|(at, given)| now < *at + FOLLOW && given == models);
-            if lacks && !recent {
+                .is_some_and(|(at, issued)| now < *at + ORDER_TIMEOUT && issued == models);
+            if incomplete && !recent {
                 info!(event = "order", pool = %name, endpoint = %vm, fence);
-                let given = (now, models.to_vec());
-                self.orders.given.insert(vm.clone(), given);
+                let issued = (now, models.to_vec());
+                self.orders.issued.insert(vm.clone(), issued);
                 let order = Order {
                     address: address.to_string(),
                     fence,
@@ -94,8 +97,8 @@
         }
     }
 
-    /// Asks to lead a pool, if this router is the first in that pool's order.
-    fn ask_to_lead(&mut self, now: Instant, pool: PoolId) {
+    /// Asks to lead a pool if this router ranks first for it.
+    fn request_lead(&mut self, now: Instant, pool: PoolId) {
         let score = |router: Incarnation| {
             let name = format!("{pool}/{router}");
             xxh3_64(name.as_bytes())
@@ -105,10 +108,10 @@
             .routers()
             .filter(|(_, state)| !state.closed)
             .min_by_key(|(id, _)| score(*id));
-        let asked = self.orders.asked.get(&pool);
-        let recent = asked.is_some_and(|at| now < *at + FOLLOW);
+        let asked = self.orders.lead_asked.get(&pool);
+        let recent = asked.is_some_and(|at| now < *at + ORDER_TIMEOUT);
         if first.is_some_and(|(id, _)| id == self.me) && !recent {
-            self.orders.asked.insert(pool.clone(), now);
+            self.orders.lead_asked.insert(pool.clone(), now);
             self.appender.push(Record::Lead { pool }, Ticket::Other);
         }
     }
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -1,4 +1,4 @@
-//! Log outages: other routers keep what this one cannot append.
+//! Log outages: batches that cannot be appended are replicated to other routers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,62 +23,68 @@
 use crate::router::request::State;
 use crate::settings::EndMarker;
 
-/// How often peers are sent what is new. Callers wait this long for the end of their answers, and at 100 bytes a record
-/// a batch of a busy router's records stays small.
-const REPLICATE: Duration = Duration::from_millis(50);
+/// How often new records are sent to peers. Callers wait this long for their answers to be completed, and at 100 bytes
+/// a record the batches of a busy router stay small.
+const REPLICATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many records a batch takes that is left with peers: while it grows it is sent again with each, and an hour of a few
-/// requests a second makes some hundred batches, which are appended within seconds when the log is back.
-const KEPT_RECORDS: usize = 64;
+/// Most records in a batch that is replicated. A batch is sent again as it grows, and an hour at a few requests a
+/// second makes some hundred batches, which are appended within seconds when the log is back.
+const REPLICA_RECORDS: usize = 64;
 
-/// How far a router's batches go: the number of the last one, and how many records that has.
+/// Extent of a router's batches: the number of the last one, and how many records it has.
 type Extent = (Sequence, usize);
 
-/// What a router has left with others in a log outage.
+/// State of replication during a log outage.
 #[derive(Debug, Default)]
 pub(crate) struct Outage {
-    sent: Option<Instant>,
-    waiting: usize,
-    began: bool,
-    /// What each peer keeps, of the incarnation that runs now.
-    kept: IndexMap<VmId, Extent>,
+    sent_at: Option<Instant>,
+    sent_records: usize,
+    active: bool,
+    /// The extent that each peer holds of the running incarnation's batches.
+    replicas: IndexMap<VmId, Extent>,
 }
 
 impl Core {
-    /// Leaves what waits for the log with other routers, so that it outlives this one.
+    /// Replicates the records that wait for the log to other routers, so that they survive this one.
     ///
-    /// A router that dies in a log outage takes its bills with it, though its callers have their answers. With the
-    /// batches at routers of other failure domains, the end of an answer may go out before the log is back.
+    /// Without this, a router that dies in a log outage would lose bills of answers that its callers have. With
+    /// replicas of the batches in other failure domains, an answer may be completed before the log is back.
     pub(crate) fn replicate(&mut self, now: Instant) {
         let outage = self.in_outage(now);
-        if outage != self.outage.began {
-            self.outage.began = outage;
+        if outage != self.outage.active {
+            self.outage.active = outage;
             info!(event = "log-outage", begins = outage);
         }
         if !outage {
             return;
         }
-        let due = self.outage.sent.is_none_or(|at| now >= at + REPLICATE);
-        self.appender.seal(KEPT_RECORDS);
+        let due = self
+            .outage
+            .sent_at
+            .is_none_or(|at| now >= at + REPLICATION_INTERVAL);
+        self.appender.seal(REPLICA_RECORDS);
         let waiting = self.appender.waiting();
-        let again = self.outage.sent.is_none_or(|at| now >= at + REPLICATE * 20);
-        if !due || (waiting == self.outage.waiting && !again) {
+        let repeat = self
+            .outage
+            .sent_at
+            .is_none_or(|at| now >= at + REPLICATION_INTERVAL * 20);
+        if !due || (waiting == self.outage.sent_records && !repeat) {
             return;
         }
-        self.outage.sent = Some(now);
-        self.outage.waiting = waiting;
+        self.outage.sent_at = Some(now);
+        self.outage.sent_records = waiting;
         for peer in self.members.roster.peers().iter().cloned() {
-            self.leave_with(peer);
+            self.replicate_to(peer);
         }
-        self.go_on_kept(now);
+        self.advance_replicated(now);
     }
 
-    /// Leaves with a peer what it does not keep yet.
+    /// Sends a peer the batches that it does not hold yet.
     ///
-    /// The last batch that it keeps may have grown since, so that one goes again. Were all sent each time, what an hour's
-    /// outage gathers would be sent some thousand times.
-    fn leave_with(&mut self, peer: Peer) {
-        let kept = self.outage.kept.get(&peer.vm).copied();
+    /// The last batch that it holds may have grown since, so that one is sent again. Sending all of them each time
+    /// would repeat what gathers in an hour's outage some thousand times.
+    fn replicate_to(&mut self, peer: Peer) {
+        let kept = self.outage.replicas.get(&peer.vm).copied();
         let Some((last, records)) = self.appender.extent() else {
             return;
         };
@@ -97,41 +103,47 @@
         self.effects.push(Effect::Keep(batches, vec![peer]));
     }
 
-    /// Takes a peer's word that it lacks what it was left before, as one that began anew does.
-    pub(crate) fn unkept(&mut self, peer: &VmId) {
-        self.outage.kept.shift_remove(peer);
+    /// Handles a peer's report that it lacks earlier batches, as it does after a restart.
+    pub(crate) fn drop_replica(&mut self, peer: &VmId) {
+        self.outage.replicas.shift_remove(peer);
     }
 
-    /// Keeps a peer's batches, or says that it is no use.
+    /// Stores a peer's batches, or refuses them where that would be of no use.
     ///
-    /// A router that was closed while it was cut off may not know it yet. Were its batches kept all the same, it would
-    /// let the ends of answers go out whose bills are void.
-    pub(crate) fn keep(&mut self, id: AdminId, batches: KeptBatches) {
+    /// A router that was closed while it was cut off may not know of it yet. If its batches were stored all the same,
+    /// it would complete answers whose bills are void.
+    pub(crate) fn store_replica(&mut self, id: AdminId, batches: KeptBatches) {
         let state = self.ledger.router(batches.router);
         let folded = state.filter(|state| !state.closed).map(|s| s.sequence);
-        let keeps = folded.is_some_and(|folded| self.members.keep(batches, folded));
-        let status = if keeps { 200 } else { 409 };
+        let stored = folded.is_some_and(|folded| self.members.keep(batches, folded));
+        let status = if stored { 200 } else { 409 };
         self.effects.push(Effect::Answer(id, status, Value::Null));
     }
 
-    /// Takes a peer's word that it keeps batches of this router.
-    pub(crate) fn kept(&mut self, now: Instant, peer: VmId, router: Incarnation, extent: Extent) {
+    /// Handles a peer's confirmation that it holds batches of this router.
+    pub(crate) fn handle_replica_ack(
+        &mut self,
+        now: Instant,
+        peer: VmId,
+        router: Incarnation,
+        extent: Extent,
+    ) {
         if router != self.me {
             return;
         }
-        let kept = self.outage.kept.entry(peer).or_insert(extent);
+        let kept = self.outage.replicas.entry(peer).or_insert(extent);
         *kept = extent.max(*kept);
-        self.go_on_kept(now);
+        self.advance_replicated(now);
     }
 
-    /// Goes on with what is kept by all whose word is needed.
-    fn go_on_kept(&mut self, now: Instant) {
-        let Some(covered) = self.covered() else {
+    /// Continues the requests whose records are replicated to all peers that must confirm them.
+    fn advance_replicated(&mut self, now: Instant) {
+        let Some(replicated) = self.replicated_extent() else {
             return;
         };
         let mut claimed = Vec::new();
         let mut billed = Vec::new();
-        for ticket in self.appender.tickets(covered) {
+        for ticket in self.appender.tickets(replicated) {
             match ticket {
                 Ticket::Claim(request) => claimed.push(*request),
                 Ticket::Bill { request, .. } => billed.push(*request),
@@ -141,33 +153,37 @@
         for id in claimed {
             self.run_kept_claim(now, id);
         }
-        let mut kept = self.outage.kept.iter();
-        let apart = kept.any(|(vm, extent)| *extent >= covered && self.may_keep(vm));
-        if apart && self.tuning.marker == EndMarker::Peers {
-            billed.into_iter().for_each(|id| self.bill_kept(id));
+        let mut replicas = self.outage.replicas.iter();
+        let confirmed =
+            replicas.any(|(vm, extent)| *extent >= replicated && self.counts_as_replica(vm));
+        if confirmed && self.tuning.marker == EndMarker::Peers {
+            billed
+                .into_iter()
+                .for_each(|id| self.release_answer_end(id));
         }
     }
 
-    /// Returns how far the batches go that are kept by all whose word is needed.
+    /// Returns the extent of the batches that are replicated to all peers that must confirm them.
     ///
-    /// Where overspend weighs more, that is every router that may close this one or refuse a retry: one that does not
+    /// Under `Lean::Strict`, every router that may close this one or refuse a retry must confirm: one that does not
     /// know of a claim would say that its request was not run, and one that does not know of a bill would close this
-    /// router before it. Where refusals weigh more, one keeper is enough, and a partition may bring both.
-    fn covered(&self) -> Option<Extent> {
-        let kept = &self.outage.kept;
-        let closers = self.closers();
+    /// router before the bill is appended. Under `Lean::Available` one replica is enough, and a partition may cause
+    /// both faults.
+    fn replicated_extent(&self) -> Option<Extent> {
+        let replicas = &self.outage.replicas;
+        let open_peers = self.open_peers();
         match self.tuning.lean {
-            _ if closers.is_empty() => self.appender.extent(),
-            ConsistencyMode::Available => kept.values().max().copied(),
+            _ if open_peers.is_empty() => self.appender.extent(),
+            ConsistencyMode::Available => replicas.values().max().copied(),
             ConsistencyMode::Strict => {
-                let extents = closers.iter().map(|vm| kept.get(vm).copied());
+                let extents = open_peers.iter().map(|vm| replicas.get(vm).copied());
                 extents.min().flatten()
             }
         }
     }
 
     /// Returns the VMs of the other routers that are open and listed.
-    pub(crate) fn closers(&self) -> Vec<VmId> {
+    pub(crate) fn open_peers(&self) -> Vec<VmId> {
         let open = self.ledger.routers().filter(|(_, state)| !state.closed);
         open.filter(|(_, state)| state.vm != self.tuning.vm)
             .filter(|(_, state)| self.members.domain(&state.vm).is_some())
@@ -175,13 +191,13 @@
             .collect()
     }
 
-    /// Forgets what peers keep, for an incarnation that is over.
-    pub(crate) fn forget_kept(&mut self) {
-        self.outage.kept.clear();
+    /// Drops the replication state of an incarnation that is closed.
+    pub(crate) fn clear_replicas(&mut self) {
+        self.outage.replicas.clear();
     }
 
-    /// Lets the end of an answer go out whose bill others keep.
-    fn bill_kept(&mut self, id: RequestId) {
+    /// Completes an answer whose bill is replicated.
+    fn release_answer_end(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id)
             && matches!(
                 request.state,
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -187,8 +187,8 @@
             pool.refresh(now, &spec, vms, fixed, &self.drained);
             pool.picker.chooser.set_router_count(routers.len());
         }
-        self.share_cold(now);
-        self.refuse_drained(now);
+        self.update_cold_shares(now);
+        self.refuse_drained_pools(now);
         self.serve_all_queues(now);
     }
 
