--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::decide;
 use crate::decide::BudgetView;
 use crate::decide::FLEET_OWNERS;
 use crate::decide::HoldingAction;
 use crate::decide::ReleaseLimit;
 use crate::decide::TEAM_OWNERS;
-use crate::decide;
 use crate::escrow::GrantChange;
 use crate::escrow::GrantRow;
 use crate::escrow::SpendPace;
