--- a/tests/decisions/engine.rs
+++ b/tests/decisions/engine.rs
@@ -10,24 +10,24 @@
 pub(crate) const SLOTS: usize = 16;
 
 /// Seconds to start a request, besides its prefill.
-const START: f64 = 0.05;
+const START_SECS: f64 = 0.05;
 
 /// Seconds to compute one block of a prompt: 16 tokens at 10,000 a second.
-const BLOCK: f64 = 0.0016;
+const BLOCK_SECS: f64 = 0.0016;
 
 /// Seconds for each token.
-const TOKEN: f64 = 0.02;
+const TOKEN_SECS: f64 = 0.02;
 
 /// Blocks that its cache holds.
-const CACHE: usize = 6000;
+const CACHE_BLOCKS: usize = 6000;
 
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) running: Vec<usize>,
     pub(crate) waiting: VecDeque<usize>,
-    pub(crate) slow: f64,
+    pub(crate) slowdown: f64,
     pub(crate) down: bool,
-    pub(crate) flap: bool,
+    pub(crate) flapping: bool,
     cache: IndexMap<u64, Vec<BlockHash>>,
     event: CacheEvent,
 }
@@ -37,9 +37,9 @@
         Self {
             running: Vec::new(),
             waiting: VecDeque::new(),
-            slow: 1.0,
+            slowdown: 1.0,
             down: false,
-            flap: false,
+            flapping: false,
             cache: IndexMap::new(),
             event: CacheEvent::default(),
         }
@@ -50,11 +50,14 @@
     }
 
     /// Returns the seconds to the first token and from there to the end, and caches the prompt.
-    pub(crate) fn run(&mut self, session: u64, prompt: &[BlockHash], tokens: u32) -> (f64, f64) {
-        let missing = prompt.len() - self.cached(session, prompt.len());
+    pub(crate) fn start(&mut self, session: u64, prompt: &[BlockHash], tokens: u32) -> (f64, f64) {
+        let uncached = prompt.len() - self.cached(session, prompt.len());
         self.store(session, prompt);
-        let first = START + missing as f64 * BLOCK;
-        (first * self.slow, f64::from(tokens) * TOKEN * self.slow)
+        let first = START_SECS + uncached as f64 * BLOCK_SECS;
+        (
+            first * self.slowdown,
+            f64::from(tokens) * TOKEN_SECS * self.slowdown,
+        )
     }
 
     fn store(&mut self, session: u64, prompt: &[BlockHash]) {
@@ -64,14 +67,14 @@
         self.cache.shift_remove(&session);
         self.cache.insert(session, prompt.to_vec());
         self.event.stored.extend(prompt);
-        while self.cache.values().map(Vec::len).sum::<usize>() > CACHE {
+        while self.cache.values().map(Vec::len).sum::<usize>() > CACHE_BLOCKS {
             let (_, old) = self.cache.shift_remove_index(0).expect("it is too large");
             self.event.removed.extend(old);
         }
     }
 
     /// Takes what changed in the cache since the last time.
-    pub(crate) fn event(&mut self) -> CacheEvent {
+    pub(crate) fn take_event(&mut self) -> CacheEvent {
         let next = CacheEvent {
             sequence: self.event.sequence + 1,
             ..CacheEvent::default()
@@ -83,6 +86,6 @@
 }
 
 /// Returns the time that a request takes on an idle engine with nothing cached.
-pub(crate) fn nominal(blocks: usize, tokens: u32) -> f64 {
-    START + blocks as f64 * BLOCK + f64::from(tokens) * TOKEN
+pub(crate) fn nominal_secs(blocks: usize, tokens: u32) -> f64 {
+    START_SECS + blocks as f64 * BLOCK_SECS + f64::from(tokens) * TOKEN_SECS
 }
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -21,7 +21,7 @@
 use crate::SEED;
 use crate::engine::Engine;
 use crate::engine::SLOTS;
-use crate::engine::nominal;
+use crate::engine::nominal_secs;
 use crate::name;
 use crate::router::End;
 use crate::router::Kind;
@@ -106,7 +106,7 @@
 
     /// Returns how many requests a second of `tokens` tokens the engines can run.
     pub(crate) fn capacity(&self, tokens: u32) -> f64 {
-        (self.engines * SLOTS) as f64 / nominal(0, tokens)
+        (self.engines * SLOTS) as f64 / nominal_secs(0, tokens)
     }
 }
 
@@ -484,7 +484,7 @@
             let at = &mut self.engines[engine];
             job.cached = at.cached(job.session, job.prompt.len());
             job.begun = self.now;
-            let (first, rest) = at.run(job.session, &job.prompt, job.tokens);
+            let (first, rest) = at.start(job.session, &job.prompt, job.tokens);
             at.running.push(id);
             self.got.cached += job.cached;
             self.got.blocks += job.prompt.len();
@@ -582,7 +582,7 @@
                 let load = (at.running.len(), at.waiting.len());
                 self.got.loads.push(load);
             }
-            let event = at.event();
+            let event = at.take_event();
             let lag = self.rng.random_range(0.5..1.5);
             self.after(lag, Event::Told(engine, load));
             // One event in twenty is lost.
@@ -607,8 +607,8 @@
         let (engine, _, _, fault) = self.setup.faults[at];
         let hit = &mut self.engines[engine];
         match fault {
-            Fault::Slow(factor) => hit.slow = if on { factor } else { 1.0 },
-            Fault::Flap => hit.flap = on,
+            Fault::Slow(factor) => hit.slowdown = if on { factor } else { 1.0 },
+            Fault::Flap => hit.flapping = on,
             Fault::Down => hit.down = on,
         }
         if hit.down {
@@ -622,7 +622,7 @@
         for router in 0..self.routers.len() {
             for engine in 0..self.engines.len() {
                 let at = &self.engines[engine];
-                let fails = at.down || at.flap && self.rng.random_range(0..10) < 7;
+                let fails = at.down || at.flapping && self.rng.random_range(0..10) < 7;
                 self.routers[router].check(now, engine, !fails);
             }
             self.pump(router);
