--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -4,7 +4,7 @@
 
 use jasmineridge::EjectionLimits;
 
-use crate::router::Kind;
+use crate::router::RouterKind;
 use crate::sim::Fault;
 use crate::sim::Got;
 use crate::sim::Group;
@@ -15,12 +15,12 @@
 /// Runs a scenario with both routers and prints what callers received.
 fn both<F>(title: &str, setup: F) -> [Outcome; 2]
 where
-    F: Fn(Kind) -> Setup,
+    F: Fn(RouterKind) -> Setup,
 {
     println!(
-        "{title}\n  router account       sent  good refused late failed wait p50   p95   p99 s  capacity used"
+        "{title}\n  router   account       sent  good refused late failed wait p50   p95   p99 s  capacity used"
     );
-    [Kind::Ours, Kind::Plain].map(|kind| {
+    [RouterKind::Library, RouterKind::Baseline].map(|kind| {
         let setup = setup(kind);
         let outcome = run(setup.clone());
         for (group, got) in setup.groups.iter().zip(&outcome.groups) {
@@ -40,10 +40,10 @@
     })
 }
 
-fn print_row(kind: Kind, group: &Group, got: &Got, setup: &Setup) {
+fn print_row(kind: RouterKind, group: &Group, got: &Got, setup: &Setup) {
     let kind = format!("{kind:?}");
     println!(
-        "  {kind:6} {:12} {:6} {:6} {:6} {:5} {:5} {:9.3} {:6.3} {:6.3} {:10.3}",
+        "  {kind:8} {:12} {:6} {:6} {:6} {:5} {:5} {:9.3} {:6.3} {:6.3} {:10.3}",
         group.account,
         got.sent,
         got.good,
@@ -117,7 +117,7 @@
 /// request waits until its caller hangs up; with them those that are served are served soon, and the others told at once.
 #[test]
 fn overload() {
-    let base = Setup::new(Kind::Ours, Vec::new());
+    let base = Setup::new(RouterKind::Library, Vec::new());
     let all = base.capacity(100) * 3.0;
     let setup = |kind| Setup::new(kind, teams(&[all / 2.0, all / 6.0, all / 6.0, all / 6.0]));
     let [ours, plain] = both("3x overload", setup);
@@ -134,7 +134,7 @@
 /// One client account sends twice what the engines can do while another sends little. The other must not notice.
 #[test]
 fn hot_caller() {
-    let all = Setup::new(Kind::Ours, Vec::new()).capacity(100);
+    let all = Setup::new(RouterKind::Library, Vec::new()).capacity(100);
     let modest = |hot| move |kind| Setup::new(kind, teams(&[all * hot, 3.0]));
     let [alone, _] = both("modest account nearly alone", modest(0.01));
     let [ours, plain] = both("hot caller", modest(2.0));
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -31,25 +31,25 @@
 use crate::sim::Setup;
 
 /// What both kinds of router hold at most in their queues.
-const QUEUE: usize = 1000;
+const QUEUE_LIMIT: usize = 1000;
 
 /// Which router is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum RouterKind {
     /// The decisions of the library.
-    Ours,
+    Library,
     /// First in, first out; round robin over endpoints with room by its own count and the last report; three tries
     /// at once; out at the first failed check and in at the first that passes. Its generous side: it is told the true
     /// slots of each engine, and drops requests whose callers hung up.
-    Plain,
+    Baseline,
 }
 
 pub(crate) enum Router {
-    Ours(Box<Ours>),
-    Plain(Plain),
+    Library(Box<LibraryRouter>),
+    Baseline(BaselineRouter),
 }
 
-pub(crate) struct Ours {
+pub(crate) struct LibraryRouter {
     limits: IndexMap<AccountId, AccountLimit>,
     queue: FairQueue<usize>,
     chooser: Chooser,
@@ -61,7 +61,7 @@
     rng: ChaCha8Rng,
 }
 
-pub(crate) struct Plain {
+pub(crate) struct BaselineRouter {
     queue: VecDeque<(usize, u32)>,
     own: Vec<usize>,
     reported: Vec<usize>,
@@ -77,8 +77,8 @@
 impl Router {
     pub(crate) fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
         match setup.kind {
-            Kind::Ours => Self::Ours(Box::new(Ours::new(at, now, setup, rng))),
-            Kind::Plain => Self::Plain(Plain {
+            RouterKind::Library => Self::Library(Box::new(LibraryRouter::new(at, now, setup, rng))),
+            RouterKind::Baseline => Self::Baseline(BaselineRouter {
                 queue: VecDeque::new(),
                 own: vec![0; setup.engines],
                 reported: vec![0; setup.engines],
@@ -91,28 +91,30 @@
     /// Takes a request, or says when to come back.
     pub(crate) fn arrive(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         match self {
-            Self::Ours(ours) => ours.arrive(now, id, job),
-            Self::Plain(plain) if plain.queue.len() >= QUEUE => Err(Duration::from_secs(1)),
-            Self::Plain(plain) => {
-                plain.queue.push_back((id, job.tries));
+            Self::Library(library) => library.arrive(now, id, job),
+            Self::Baseline(baseline) if baseline.queue.len() >= QUEUE_LIMIT => {
+                Err(Duration::from_secs(1))
+            }
+            Self::Baseline(baseline) => {
+                baseline.queue.push_back((id, job.tries));
                 Ok(())
             }
         }
     }
 
     /// Returns the next request to dispatch and its engine.
-    pub(crate) fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Sent> {
+    pub(crate) fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
         match self {
-            Self::Ours(ours) => ours.next(now, jobs),
-            Self::Plain(plain) => plain.next(jobs),
+            Self::Library(library) => library.next(now, jobs),
+            Self::Baseline(baseline) => baseline.next(jobs),
         }
     }
 
     /// Returns those that the router gives up on.
     pub(crate) fn given_up(&mut self, now: Instant) -> Vec<usize> {
         match self {
-            Self::Ours(ours) => ours.queue.take_expired(now),
-            Self::Plain(_) => Vec::new(),
+            Self::Library(library) => library.queue.take_expired(now),
+            Self::Baseline(_) => Vec::new(),
         }
     }
 
@@ -125,10 +127,12 @@
         end: End,
     ) -> Option<Duration> {
         match self {
-            Self::Ours(ours) => ours.end(now, engine, job, end),
-            Self::Plain(plain) => {
-                plain.own[engine] -= 1;
-                (end != End::Cancelled && !matches!(end, End::Whole(..)) && job.excluded.len() < 3)
+            Self::Library(library) => library.end(now, engine, job, end),
+            Self::Baseline(baseline) => {
+                baseline.own[engine] -= 1;
+                (end != End::Cancelled
+                    && !matches!(end, End::Completed(..))
+                    && job.excluded.len() < 3)
                     .then_some(Duration::ZERO)
             }
         }
@@ -136,48 +140,52 @@
 
     /// Ends a request's stay at the router.
     pub(crate) fn leave(&mut self, job: &Job) {
-        if let Self::Ours(ours) = self
-            && let Some(limit) = ours.limits.get_mut(&job.account)
+        if let Self::Library(library) = self
+            && let Some(limit) = library.limits.get_mut(&job.account)
         {
             limit.release();
         }
     }
 
     pub(crate) fn first_token(&mut self, now: Instant, engine: usize, time: Duration) {
-        if let Self::Ours(ours) = self {
-            let vm = ours.vms[engine].clone();
-            ours.ejector
-                .record(now, &vm, Observation::Answered(time), &mut ours.rng);
+        if let Self::Library(library) = self {
+            let vm = library.vms[engine].clone();
+            library
+                .ejector
+                .record(now, &vm, Observation::Answered(time), &mut library.rng);
         }
     }
 
     pub(crate) fn report(&mut self, now: Instant, engine: usize, load: Load) {
         match self {
-            Self::Ours(ours) => ours.chooser.report(now, &ours.vms[engine], load),
-            Self::Plain(plain) => plain.reported[engine] = (load.running + load.waiting) as usize,
+            Self::Library(library) => library.chooser.report(now, &library.vms[engine], load),
+            Self::Baseline(baseline) => {
+                baseline.reported[engine] = (load.running + load.waiting) as usize
+            }
         }
     }
 
     pub(crate) fn cache(&mut self, engine: usize, event: &CacheEvent) {
-        if let Self::Ours(ours) = self {
-            ours.index.apply_event(&ours.vms[engine], event);
+        if let Self::Library(library) = self {
+            library.index.apply_event(&library.vms[engine], event);
         }
     }
 
     pub(crate) fn check(&mut self, now: Instant, engine: usize, passed: bool) {
         match self {
-            Self::Ours(ours) => {
-                let vm = ours.vms[engine].clone();
-                ours.ejector
-                    .record(now, &vm, Observation::Checked(passed), &mut ours.rng);
+            Self::Library(library) => {
+                let vm = library.vms[engine].clone();
+                library
+                    .ejector
+                    .record(now, &vm, Observation::Checked(passed), &mut library.rng);
             }
-            Self::Plain(plain) => plain.out[engine] = !passed,
+            Self::Baseline(baseline) => baseline.out[engine] = !passed,
         }
     }
 }
 
 /// A dispatch.
-pub(crate) struct Sent {
+pub(crate) struct Dispatch {
     pub(crate) id: usize,
     pub(crate) engine: usize,
     pub(crate) usage: Usage,
@@ -189,7 +197,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     /// With an answer, whose first token came after this time and so many cached blocks.
-    Whole(Duration, usize),
+    Completed(Duration, usize),
     /// Before it ran: the connection was refused.
     Refused,
     /// By the endpoint's fault, while it ran.
@@ -198,7 +206,7 @@
     Cancelled,
 }
 
-impl Ours {
+impl LibraryRouter {
     fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
         let router: VmId = name(&format!("r{at}"));
         let mut chooser = Chooser::new(&router);
@@ -217,7 +225,7 @@
         let seeded = rand::SeedableRng::seed_from_u64(rng.random_range(0..u64::MAX));
         Self {
             limits,
-            queue: FairQueue::new(QUEUE, seeded),
+            queue: FairQueue::new(QUEUE_LIMIT, seeded),
             chooser,
             index: PrefixIndex::new(),
             ejector,
@@ -248,7 +256,7 @@
         })
     }
 
-    fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Sent> {
+    fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
         let mut chosen = None;
         let mut usage = Usage::Heavy;
         let id = self.queue.pop_where(now, |id, used| {
@@ -270,7 +278,7 @@
         let vm = choice.endpoint;
         self.chooser.start(now, &vm);
         self.index.record_cached(&vm, &jobs[id].prompt);
-        Some(Sent {
+        Some(Dispatch {
             id,
             engine: self.vms.iter().position(|v| *v == vm)?,
             usage,
@@ -281,7 +289,7 @@
     fn end(&mut self, now: Instant, engine: usize, job: &Job, end: End) -> Option<Duration> {
         let vm = self.vms[engine].clone();
         let sample = match end {
-            End::Whole(time, cached) => {
+            End::Completed(time, cached) => {
                 self.index
                     .record_served(&vm, &job.prompt, job.thought, cached);
                 Sample::Answered(time)
@@ -303,8 +311,8 @@
     }
 }
 
-impl Plain {
-    fn next(&mut self, jobs: &[Job]) -> Option<Sent> {
+impl BaselineRouter {
+    fn next(&mut self, jobs: &[Job]) -> Option<Dispatch> {
         let gone = |(id, tries): &(usize, u32)| jobs[*id].gone(*tries);
         while self.queue.front().is_some_and(gone) {
             self.queue.pop_front();
@@ -316,7 +324,7 @@
         let (id, _) = self.queue.pop_front()?;
         self.next = engine + 1;
         self.own[engine] += 1;
-        Some(Sent {
+        Some(Dispatch {
             id,
             engine,
             usage: Usage::Heavy,
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -23,10 +23,10 @@
 use crate::engine::SLOTS;
 use crate::engine::nominal_secs;
 use crate::name;
+use crate::router::Dispatch;
 use crate::router::End;
-use crate::router::Kind;
 use crate::router::Router;
-use crate::router::Sent;
+use crate::router::RouterKind;
 use crate::start;
 
 /// Requests of one kind.
@@ -79,7 +79,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
-    pub(crate) kind: Kind,
+    pub(crate) kind: RouterKind,
     pub(crate) caps: EjectionLimits,
     pub(crate) routers: usize,
     pub(crate) engines: usize,
@@ -91,7 +91,7 @@
 }
 
 impl Setup {
-    pub(crate) fn new(kind: Kind, groups: Vec<Group>) -> Self {
+    pub(crate) fn new(kind: RouterKind, groups: Vec<Group>) -> Self {
         Self {
             kind,
             caps: EjectionLimits::default(),
@@ -444,8 +444,8 @@
         }
     }
 
-    fn dispatch(&mut self, sent: Sent) {
-        let Sent {
+    fn dispatch(&mut self, sent: Dispatch) {
+        let Dispatch {
             id, engine, usage, ..
         } = sent;
         let now = self.now;
@@ -519,7 +519,7 @@
         let (begun, arrived) = (job.begun, job.arrived);
         self.release(
             id,
-            End::Whole(Duration::from_secs_f64(first - sent), cached),
+            End::Completed(Duration::from_secs_f64(first - sent), cached),
         );
         self.jobs[id].over = true;
         let got = &mut self.got.groups[self.jobs[id].group];
