--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -55,7 +55,7 @@
     chooser: Chooser,
     index: PrefixIndex,
     ejector: Ejector,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     vms: Vec<VmId>,
     domain: DomainId,
     rng: ChaCha8Rng,
@@ -63,35 +63,37 @@
 
 pub(crate) struct BaselineRouter {
     queue: VecDeque<(usize, u32)>,
-    own: Vec<usize>,
-    reported: Vec<usize>,
-    out: Vec<bool>,
-    next: usize,
+    in_flight: Vec<usize>,
+    reported_load: Vec<usize>,
+    ejected: Vec<bool>,
+    next_engine: usize,
 }
 
 /// Returns the failure domain of an engine or a router: three of them, in turn.
-pub(crate) fn domain(at: usize) -> DomainId {
-    name(&format!("d{}", at % 3))
+pub(crate) fn domain(index: usize) -> DomainId {
+    name(&format!("d{}", index % 3))
 }
 
 impl Router {
-    pub(crate) fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+    pub(crate) fn new(index: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
         match setup.kind {
-            RouterKind::Library => Self::Library(Box::new(LibraryRouter::new(at, now, setup, rng))),
+            RouterKind::Library => {
+                Self::Library(Box::new(LibraryRouter::new(index, now, setup, rng)))
+            }
             RouterKind::Baseline => Self::Baseline(BaselineRouter {
                 queue: VecDeque::new(),
-                own: vec![0; setup.engines],
-                reported: vec![0; setup.engines],
-                out: vec![false; setup.engines],
-                next: at,
+                in_flight: vec![0; setup.engines],
+                reported_load: vec![0; setup.engines],
+                ejected: vec![false; setup.engines],
+                next_engine: index,
             }),
         }
     }
 
     /// Takes a request, or says when to come back.
-    pub(crate) fn arrive(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
+    pub(crate) fn admit(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         match self {
-            Self::Library(library) => library.arrive(now, id, job),
+            Self::Library(library) => library.admit(now, id, job),
             Self::Baseline(baseline) if baseline.queue.len() >= QUEUE_LIMIT => {
                 Err(Duration::from_secs(1))
             }
@@ -103,15 +105,15 @@
     }
 
     /// Returns the next request to dispatch and its engine.
-    pub(crate) fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
+    pub(crate) fn next_dispatch(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
         match self {
-            Self::Library(library) => library.next(now, jobs),
-            Self::Baseline(baseline) => baseline.next(jobs),
+            Self::Library(library) => library.next_dispatch(now, jobs),
+            Self::Baseline(baseline) => baseline.next_dispatch(jobs),
         }
     }
 
     /// Returns those that the router gives up on.
-    pub(crate) fn given_up(&mut self, now: Instant) -> Vec<usize> {
+    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<usize> {
         match self {
             Self::Library(library) => library.queue.take_expired(now),
             Self::Baseline(_) => Vec::new(),
@@ -129,7 +131,7 @@
         match self {
             Self::Library(library) => library.end(now, engine, job, end),
             Self::Baseline(baseline) => {
-                baseline.own[engine] -= 1;
+                baseline.in_flight[engine] -= 1;
                 (end != End::Cancelled
                     && !matches!(end, End::Completed(..))
                     && job.excluded.len() < 3)
@@ -139,7 +141,7 @@
     }
 
     /// Ends a request's stay at the router.
-    pub(crate) fn leave(&mut self, job: &Job) {
+    pub(crate) fn release_account(&mut self, job: &Job) {
         if let Self::Library(library) = self
             && let Some(limit) = library.limits.get_mut(&job.account)
         {
@@ -147,7 +149,7 @@
         }
     }
 
-    pub(crate) fn first_token(&mut self, now: Instant, engine: usize, time: Duration) {
+    pub(crate) fn record_first_token(&mut self, now: Instant, engine: usize, time: Duration) {
         if let Self::Library(library) = self {
             let vm = library.vms[engine].clone();
             library
@@ -156,22 +158,22 @@
         }
     }
 
-    pub(crate) fn report(&mut self, now: Instant, engine: usize, load: Load) {
+    pub(crate) fn report_load(&mut self, now: Instant, engine: usize, load: Load) {
         match self {
             Self::Library(library) => library.chooser.report(now, &library.vms[engine], load),
             Self::Baseline(baseline) => {
-                baseline.reported[engine] = (load.running + load.waiting) as usize
+                baseline.reported_load[engine] = (load.running + load.waiting) as usize
             }
         }
     }
 
-    pub(crate) fn cache(&mut self, engine: usize, event: &CacheEvent) {
+    pub(crate) fn apply_cache_event(&mut self, engine: usize, event: &CacheEvent) {
         if let Self::Library(library) = self {
             library.index.apply_event(&library.vms[engine], event);
         }
     }
 
-    pub(crate) fn check(&mut self, now: Instant, engine: usize, passed: bool) {
+    pub(crate) fn record_check(&mut self, now: Instant, engine: usize, passed: bool) {
         match self {
             Self::Library(library) => {
                 let vm = library.vms[engine].clone();
@@ -179,7 +181,7 @@
                     .ejector
                     .record(now, &vm, Observation::Checked(passed), &mut library.rng);
             }
-            Self::Baseline(baseline) => baseline.out[engine] = !passed,
+            Self::Baseline(baseline) => baseline.ejected[engine] = !passed,
         }
     }
 }
@@ -190,7 +192,7 @@
     pub(crate) engine: usize,
     pub(crate) usage: Usage,
     /// How many blocks the router thinks cached there.
-    pub(crate) thought: usize,
+    pub(crate) expected_blocks: usize,
 }
 
 /// How a dispatch ended.
@@ -207,8 +209,8 @@
 }
 
 impl LibraryRouter {
-    fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
-        let router: VmId = name(&format!("r{at}"));
+    fn new(index: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+        let router: VmId = name(&format!("r{index}"));
         let mut chooser = Chooser::new(&router);
         let mut ejector = Ejector::new(setup.caps);
         let vms: Vec<VmId> = (0..setup.engines).map(|e| name(&format!("e{e}"))).collect();
@@ -222,25 +224,25 @@
             .map(|g| (name(g.account), AccountLimit::new(now, &g.limits)))
             .collect();
         let mut rng = rng;
-        let seeded = rand::SeedableRng::seed_from_u64(rng.random_range(0..u64::MAX));
+        let queue_rng = rand::SeedableRng::seed_from_u64(rng.random_range(0..u64::MAX));
         Self {
             limits,
-            queue: FairQueue::new(QUEUE_LIMIT, seeded),
+            queue: FairQueue::new(QUEUE_LIMIT, queue_rng),
             chooser,
             index: PrefixIndex::new(),
             ejector,
-            budget: RetryBudget::new(now),
+            retry_budget: RetryBudget::new(now),
             vms,
-            domain: domain(at),
+            domain: domain(index),
             rng,
         }
     }
 
-    fn arrive(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
+    fn admit(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         let limit = &mut self.limits[&job.account];
         if job.excluded.is_empty() {
             limit.try_acquire(now).map_err(|r| r.retry_after())?;
-            self.budget.record_request(now);
+            self.retry_budget.record_request(now);
         }
         let ticket = QueueTicket {
             team: job.team.clone(),
@@ -256,12 +258,12 @@
         })
     }
 
-    fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
-        let mut chosen = None;
+    fn next_dispatch(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
+        let mut choice = None;
         let mut usage = Usage::Heavy;
         let id = self.queue.pop_where(now, |id, used| {
             usage = used;
-            let wish = Criteria {
+            let criteria = Criteria {
                 model: None,
                 prefix: &jobs[*id].prompt,
                 domain: &self.domain,
@@ -269,12 +271,12 @@
                 usage,
                 prompt: None,
             };
-            chosen = self
+            choice = self
                 .chooser
-                .choose(now, &wish, &self.index, &self.ejector, &mut self.rng);
-            chosen.is_some()
+                .choose(now, &criteria, &self.index, &self.ejector, &mut self.rng);
+            choice.is_some()
         })?;
-        let choice = chosen?;
+        let choice = choice?;
         let vm = choice.endpoint;
         self.chooser.start(now, &vm);
         self.index.record_cached(&vm, &jobs[id].prompt);
@@ -282,7 +284,7 @@
             id,
             engine: self.vms.iter().position(|v| *v == vm)?,
             usage,
-            thought: choice.cached,
+            expected_blocks: choice.cached,
         })
     }
 
@@ -303,32 +305,34 @@
         };
         self.chooser.end(now, &vm, sample);
         // What did not run adds no work when it is tried again, and the pause of the endpoint bounds how often.
-        let retry = end == End::Refused || end == End::Failed && self.budget.try_retry(now);
+        let retry = end == End::Refused || end == End::Failed && self.retry_budget.try_retry(now);
         retry.then(|| {
-            self.budget
+            self.retry_budget
                 .backoff(job.excluded.len() as u32, &mut self.rng)
         })
     }
 }
 
 impl BaselineRouter {
-    fn next(&mut self, jobs: &[Job]) -> Option<Dispatch> {
-        let gone = |(id, tries): &(usize, u32)| jobs[*id].gone(*tries);
-        while self.queue.front().is_some_and(gone) {
+    fn next_dispatch(&mut self, jobs: &[Job]) -> Option<Dispatch> {
+        let abandoned = |(id, tries): &(usize, u32)| jobs[*id].gone(*tries);
+        while self.queue.front().is_some_and(abandoned) {
             self.queue.pop_front();
         }
-        let count = self.own.len();
+        let count = self.in_flight.len();
         let engine = (0..count)
-            .map(|at| (self.next + at) % count)
-            .find(|e| !self.out[*e] && self.own[*e].max(self.reported[*e]) < SLOTS)?;
+            .map(|offset| (self.next_engine + offset) % count)
+            .find(|e| {
+                !self.ejected[*e] && self.in_flight[*e].max(self.reported_load[*e]) < SLOTS
+            })?;
         let (id, _) = self.queue.pop_front()?;
-        self.next = engine + 1;
-        self.own[engine] += 1;
+        self.next_engine = engine + 1;
+        self.in_flight[engine] += 1;
         Some(Dispatch {
             id,
             engine,
             usage: Usage::Heavy,
-            thought: 0,
+            expected_blocks: 0,
         })
     }
 }
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -289,7 +289,9 @@
             Event::Told(engine, load) => self.told(engine, load),
             Event::Cached(engine, event) => {
                 let event = &event;
-                self.routers.iter_mut().for_each(|r| r.cache(engine, event));
+                self.routers
+                    .iter_mut()
+                    .for_each(|r| r.apply_cache_event(engine, event));
             }
             Event::Fault(at, on) => self.fault(at, on),
             Event::Check => self.check(),
@@ -377,7 +379,7 @@
             self.after(patience + 1e-5, Event::HangUp(id, self.jobs[id].tries));
         }
         let (now, router) = (self.at(), self.jobs[id].router);
-        match self.routers[router].arrive(now, id, &self.jobs[id]) {
+        match self.routers[router].admit(now, id, &self.jobs[id]) {
             Ok(()) => self.pump(router),
             Err(after) => self.refused(id, after),
         }
@@ -432,14 +434,14 @@
     /// Dispatches what a router can, and answers those it gives up on.
     fn pump(&mut self, router: usize) {
         let now = self.at();
-        for id in self.routers[router].given_up(now) {
+        for id in self.routers[router].take_expired(now) {
             let job = &self.jobs[id];
-            self.routers[router].leave(job);
+            self.routers[router].release_account(job);
             if !job.over && job.first.is_none() && now < job.deadline {
                 self.refused(id, Duration::from_secs(2));
             }
         }
-        while let Some(sent) = self.routers[router].next(now, &self.jobs) {
+        while let Some(sent) = self.routers[router].next_dispatch(now, &self.jobs) {
             self.dispatch(sent);
         }
     }
@@ -453,7 +455,7 @@
         let job = &mut self.jobs[id];
         job.engine = Some(engine);
         job.sent = now;
-        job.thought = sent.thought;
+        job.thought = sent.expected_blocks;
         job.dispatch += 1;
         self.got.dispatches += 1;
         if self.engines[engine].down {
@@ -503,7 +505,7 @@
         let time = Duration::from_secs_f64(self.now - job.sent);
         let (engine, router) = (job.engine.expect("it runs"), job.router);
         let now = self.at();
-        self.routers[router].first_token(now, engine, time);
+        self.routers[router].record_first_token(now, engine, time);
     }
 
     fn done(&mut self, id: usize, dispatch: u32) {
@@ -564,7 +566,7 @@
         let router = &mut self.routers[self.jobs[id].router];
         let again = router.end(now, engine, &self.jobs[id], end);
         if again.is_none() {
-            router.leave(&self.jobs[id]);
+            router.release_account(&self.jobs[id]);
         }
         again
     }
@@ -598,7 +600,7 @@
     fn told(&mut self, engine: usize, load: Load) {
         let now = self.at();
         for router in 0..self.routers.len() {
-            self.routers[router].report(now, engine, load);
+            self.routers[router].report_load(now, engine, load);
             self.pump(router);
         }
     }
@@ -623,7 +625,7 @@
             for engine in 0..self.engines.len() {
                 let at = &self.engines[engine];
                 let fails = at.down || at.flapping && self.rng.random_range(0..10) < 7;
-                self.routers[router].check(now, engine, !fails);
+                self.routers[router].record_check(now, engine, !fails);
             }
             self.pump(router);
         }
