--- a/tests/decisions/cold.rs
+++ b/tests/decisions/cold.rs
@@ -22,13 +22,13 @@
 use crate::start;
 
 /// What a cold endpoint bears a second.
-const RATE: u32 = 14;
+const COLD_RATE_PER_SEC: u32 = 14;
 
 /// How long an endpoint is cold.
 const WARMUP: Duration = Duration::from_secs(3);
 
 /// How long a run takes.
-const RUN: Duration = Duration::from_millis(400);
+const RUN_TIME: Duration = Duration::from_millis(400);
 
 /// Routers that choose among the same endpoints without a word between them.
 struct Fleet {
@@ -66,10 +66,10 @@
     }
 
     /// Has endpoints be cold until a time, as all routers know.
-    fn cool(&mut self, until: Instant, endpoints: std::ops::Range<usize>) {
+    fn set_cold(&mut self, until: Instant, endpoints: std::ops::Range<usize>) {
         for vm in endpoints.map(endpoint) {
             for (router, chooser) in self.routers.iter().zip(&mut self.choosers) {
-                let share = cold_share(RATE, &self.routers, router, &vm);
+                let share = cold_share(COLD_RATE_PER_SEC, &self.routers, router, &vm);
                 chooser.set_cold(&vm, Some(until), share);
             }
         }
@@ -88,7 +88,7 @@
             shared_tokens: 2000,
             own_tokens: 500,
         };
-        let wish = Criteria {
+        let criteria = Criteria {
             model: None,
             prefix: &[],
             domain: &name("domain-0"),
@@ -98,10 +98,11 @@
         };
         let chooser = &mut self.choosers[router];
         let index = PrefixIndex::new();
-        let choice = chooser.choose(now, &wish, &index, &self.health, rng)?;
+        let choice = chooser.choose(now, &criteria, &index, &self.health, rng)?;
         chooser.start(now, &choice.endpoint);
         chooser.record_prompt(now, &choice, &prompt);
-        self.runs.push((now + RUN, router, choice.endpoint.clone()));
+        self.runs
+            .push((now + RUN_TIME, router, choice.endpoint.clone()));
         Some(choice.endpoint)
     }
 }
@@ -111,24 +112,24 @@
 }
 
 /// Returns the most of some times that lie within one second.
-fn most_in_a_second(times: &[Instant]) -> usize {
-    let within = |from: &Instant| {
+fn max_in_one_second(times: &[Instant]) -> usize {
+    let count_from = |from: &Instant| {
         let second = Duration::from_secs(1);
         let in_second = |at: &&Instant| **at >= *from && **at < *from + second;
         times.iter().filter(in_second).count()
     };
-    times.iter().map(within).max().unwrap_or(0)
+    times.iter().map(count_from).max().unwrap_or(0)
 }
 
 /// Has a failure domain come back cold to a fleet one of whose routers has a fifth of all arrivals, and returns how many
 /// requests the busiest cold endpoint gets in any second, and how many cold ones get in all.
-fn burst(routers: usize, warm: usize) -> (usize, usize) {
+fn cold_domain_load(routers: usize, warm: usize) -> (usize, usize) {
     let mut rng = rng();
     let mut now = start();
     let cold = 20;
     let mut fleet = Fleet::new(now, routers, cold + warm, 64);
     let until = now + WARMUP;
-    fleet.cool(until, 0..cold);
+    fleet.set_cold(until, 0..cold);
     let mut sent: Vec<Vec<Instant>> = vec![Vec::new(); cold];
     while now + ms(1) < until {
         now += ms(1);
@@ -143,38 +144,41 @@
             sent[at].push(now);
         }
     }
-    let busiest = sent.iter().map(|times| most_in_a_second(times)).max();
-    (
-        busiest.unwrap_or(0),
-        sent.iter().map(Vec::len).sum::<usize>(),
-    )
+    let peak = sent.iter().map(|times| max_in_one_second(times)).max();
+    (peak.unwrap_or(0), sent.iter().map(Vec::len).sum::<usize>())
 }
 
 /// Guards against a failure domain that comes back cold and crashes under what all routers send it at once.
 #[test]
-fn cold_endpoints_get_no_more_than_they_bear() {
+fn cold_endpoints_stay_within_their_rate() {
     for routers in [1, 6, 14, 86, 300] {
-        let (busiest, all) = burst(routers, 0);
-        assert!(busiest <= RATE as usize, "{routers} routers: {busiest}");
+        let (peak, total) = cold_domain_load(routers, 0);
+        assert!(
+            peak <= COLD_RATE_PER_SEC as usize,
+            "{routers} routers: {peak}"
+        );
         // What they bear is used: a single router of many is asked for more than its share, so that not all of it is.
-        let capacity = 20 * RATE as usize * WARMUP.as_secs() as usize;
-        assert!(all * 2 > capacity, "{routers} routers: {all} of {capacity}");
+        let capacity = 20 * COLD_RATE_PER_SEC as usize * WARMUP.as_secs() as usize;
+        assert!(
+            total * 2 > capacity,
+            "{routers} routers: {total} of {capacity}"
+        );
     }
 }
 
 /// Guards against cold endpoints that are taken for the best ones because they are idle.
 #[test]
-fn warm_endpoints_go_first() {
-    assert_eq!(burst(86, 40).1, 0);
+fn warm_endpoints_are_preferred() {
+    assert_eq!(cold_domain_load(86, 40).1, 0);
 }
 
 /// Guards against requests that are refused though cold endpoints would carry them: the warm ones are full.
 #[test]
-fn cold_endpoints_take_what_warm_ones_have_no_room_for() {
+fn cold_endpoints_take_overflow_of_full_warm_ones() {
     let mut rng = rng();
     let now = start();
     let mut fleet = Fleet::new(now, 4, 3, 1);
-    fleet.cool(now + WARMUP, 0..2);
+    fleet.set_cold(now + WARMUP, 0..2);
     let first = fleet.send(now, 0, &mut rng);
     assert_eq!(first, Some(endpoint(2)));
     assert!(fleet.send(now, 0, &mut rng).is_some());
@@ -182,11 +186,11 @@
 
 /// Guards against an endpoint that is held to its cold rate for ever.
 #[test]
-fn an_endpoint_is_warm_after_its_time() {
+fn endpoint_is_warm_after_warmup() {
     let mut rng = rng();
     let now = start();
     let mut fleet = Fleet::new(now, 300, 1, 64);
-    fleet.cool(now + WARMUP, 0..1);
+    fleet.set_cold(now + WARMUP, 0..1);
     let later = now + WARMUP;
     let served = (0..300).filter(|router| fleet.send(later, *router, &mut rng).is_some());
     assert_eq!(served.count(), 300);
@@ -195,7 +199,7 @@
 /// Guards against routers that know different parts of the fleet, as while VMs are added and lost, and together send a cold
 /// endpoint more than the half beyond its rate that it bears.
 #[test]
-fn routers_that_know_different_fleets_keep_to_the_rate() {
+fn cold_rate_holds_when_routers_know_different_fleets() {
     let mut rng = rng();
     let routers: Vec<VmId> = (0..86).map(|n| name(&format!("vm-{n}"))).collect();
     for n in 0..60 {
@@ -205,9 +209,12 @@
                 .iter()
                 .filter(|other| *other == router || rng.random_bool(0.9));
             let known: Vec<_> = known.cloned().collect();
-            cold_share(RATE, &known, router, &vm)
+            cold_share(COLD_RATE_PER_SEC, &known, router, &vm)
         });
-        let all: u32 = shares.sum();
-        assert!(all <= RATE * 3 / 2, "{all} a second at {vm}");
+        let total: u32 = shares.sum();
+        assert!(
+            total <= COLD_RATE_PER_SEC * 3 / 2,
+            "{total} per second at {vm}"
+        );
     }
 }
