--- a/tests/decisions/poison.rs
+++ b/tests/decisions/poison.rs
@@ -24,58 +24,58 @@
 
 /// Steps of a tenth of a second: what an answer takes, until a poisoned endpoint dies, until a dead one is back, and until
 /// a record is known everywhere.
-const ANSWER: u32 = 20;
-const DEATH: u32 = 5;
-const RESTART: u32 = 50;
-const RECORD: u32 = 2;
+const ANSWER_STEPS: u32 = 20;
+const CRASH_STEPS: u32 = 5;
+const RESTART_STEPS: u32 = 50;
+const RECORD_STEPS: u32 = 2;
 
 /// How often the poison's caller sends it.
-const TRIES: usize = 10;
+const POISON_TRIES: usize = 10;
 
 struct Run {
     router: usize,
     endpoint: usize,
     request: Fingerprint,
-    end: u32,
+    end_step: u32,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Toll {
+struct Totals {
     crashes: usize,
-    innocent: usize,
+    answered: usize,
     refused: usize,
 }
 
-struct World {
-    now: u32,
-    base: Instant,
-    vms: Vec<VmId>,
-    names: Vec<VmId>,
-    back: [u32; ENDPOINTS],
+struct Simulation {
+    step: u32,
+    start_time: Instant,
+    endpoint_vms: Vec<VmId>,
+    router_vms: Vec<VmId>,
+    up_from: [u32; ENDPOINTS],
     runs: Vec<Run>,
     queues: Vec<VecDeque<Fingerprint>>,
     routers: Vec<Quarantine>,
     /// The ledger: which endpoints died of what, and when each record is known.
     records: Vec<(u32, Fingerprint, usize)>,
     ledger: IndexMap<Fingerprint, IndexSet<usize>>,
-    toll: Toll,
-    quarantine: bool,
+    totals: Totals,
+    use_quarantine: bool,
     rng: ChaCha8Rng,
 }
 
-impl World {
-    fn at(&self) -> Instant {
-        self.base + Duration::from_millis(100) * self.now
+impl Simulation {
+    fn instant(&self) -> Instant {
+        self.start_time + Duration::from_millis(100) * self.step
     }
 
-    fn refuses(&self, router: usize, request: Fingerprint) -> bool {
+    fn is_refused(&self, router: usize, request: Fingerprint) -> bool {
         let known = self.ledger.get(&request).is_some_and(|e| e.len() >= 2);
         known || self.routers[router].isolation(request) == Isolation::Refused
     }
 
-    fn place(&mut self, router: usize, request: Fingerprint) -> Option<usize> {
+    fn choose_endpoint(&mut self, router: usize, request: Fingerprint) -> Option<usize> {
         let quarantine = &self.routers[router];
-        let (avoid, forbid) = match self.quarantine {
+        let (avoided, forbidden) = match self.use_quarantine {
             true => (
                 quarantine.avoided_endpoints(request),
                 quarantine.forbidden_endpoints(request),
@@ -83,27 +83,32 @@
             false => Default::default(),
         };
         let up: Vec<_> = (0..ENDPOINTS)
-            .filter(|e| self.back[*e] <= self.now && !forbid.contains(&self.vms[*e]))
+            .filter(|e| {
+                self.up_from[*e] <= self.step && !forbidden.contains(&self.endpoint_vms[*e])
+            })
             .collect();
-        let suspect = quarantine.isolation(request) == Isolation::Isolated && self.quarantine;
-        let mine = |e: &usize| {
-            !suspect || suspect_router(&self.names, &self.vms[*e]) == self.names.get(router)
+        let suspect = quarantine.isolation(request) == Isolation::Isolated && self.use_quarantine;
+        let assigned = |e: &usize| {
+            !suspect
+                || suspect_router(&self.router_vms, &self.endpoint_vms[*e])
+                    == self.router_vms.get(router)
         };
         let free: Vec<_> = up
             .iter()
             .copied()
-            .filter(|e| mine(e) && !avoid.contains(&self.vms[*e]))
+            .filter(|e| assigned(e) && !avoided.contains(&self.endpoint_vms[*e]))
             .collect();
-        let mine: Vec<_> = up.iter().copied().filter(mine).collect();
+        let own: Vec<_> = up.iter().copied().filter(assigned).collect();
         // A suspect rather waits for an endpoint of its own router's, if there is any.
-        let owns = (0..ENDPOINTS)
-            .any(|e| suspect_router(&self.names, &self.vms[e]) == self.names.get(router));
-        let rest = if suspect && owns { Vec::new() } else { up };
-        let from = [free, mine, rest]
+        let has_own = (0..ENDPOINTS).any(|e| {
+            suspect_router(&self.router_vms, &self.endpoint_vms[e]) == self.router_vms.get(router)
+        });
+        let rest = if suspect && has_own { Vec::new() } else { up };
+        let candidates = [free, own, rest]
             .into_iter()
             .find(|f| !f.is_empty())
             .unwrap_or_default();
-        (!from.is_empty()).then(|| from[self.rng.random_range(0..from.len())])
+        (!candidates.is_empty()).then(|| candidates[self.rng.random_range(0..candidates.len())])
     }
 
     fn dispatch(&mut self, router: usize) {
@@ -111,32 +116,37 @@
             let Some(request) = self.queues[router].pop_front() else {
                 return;
             };
-            if self.quarantine && self.refuses(router, request) {
-                self.toll.refused += usize::from(request != POISON);
+            if self.use_quarantine && self.is_refused(router, request) {
+                self.totals.refused += usize::from(request != POISON);
                 continue;
             }
-            let Some(endpoint) = self.place(router, request) else {
+            let Some(endpoint) = self.choose_endpoint(router, request) else {
                 self.queues[router].push_back(request);
                 continue;
             };
-            let takes = if request == POISON { DEATH } else { ANSWER };
-            self.routers[router].start(request, &self.vms[endpoint]);
+            let duration = if request == POISON {
+                CRASH_STEPS
+            } else {
+                ANSWER_STEPS
+            };
+            self.routers[router].start(request, &self.endpoint_vms[endpoint]);
             self.runs.push(Run {
                 router,
                 endpoint,
                 request,
-                end: self.now + takes,
+                end_step: self.step + duration,
             });
         }
     }
 
     fn crash(&mut self, endpoint: usize) {
-        let now = self.at();
-        self.toll.crashes += 1;
-        self.back[endpoint] = self.now + RESTART;
+        let now = self.instant();
+        self.totals.crashes += 1;
+        self.up_from[endpoint] = self.step + RESTART_STEPS;
         for router in 0..ROUTERS {
-            for request in self.routers[router].record_crash(now, &self.vms[endpoint]) {
-                self.records.push((self.now + RECORD, request, endpoint));
+            for request in self.routers[router].record_crash(now, &self.endpoint_vms[endpoint]) {
+                self.records
+                    .push((self.step + RECORD_STEPS, request, endpoint));
             }
         }
         for run in self.runs.extract_if(.., |r| r.endpoint == endpoint) {
@@ -147,81 +157,88 @@
         }
     }
 
-    fn step(&mut self) {
-        let known = self.records.extract_if(.., |r| r.0 <= self.now);
-        let now = self.base + Duration::from_millis(100) * self.now;
-        for (_, request, endpoint) in known {
+    fn advance(&mut self) {
+        let visible = self.records.extract_if(.., |r| r.0 <= self.step);
+        let now = self.start_time + Duration::from_millis(100) * self.step;
+        for (_, request, endpoint) in visible {
             self.ledger.entry(request).or_default().insert(endpoint);
-            let vm = &self.vms[endpoint];
+            let vm = &self.endpoint_vms[endpoint];
             let routers = self.routers.iter_mut();
             routers.for_each(|r| r.add_suspect(now, request, vm));
         }
-        let ends = |r: &mut Run| r.end <= self.now;
-        let ended: Vec<_> = self.runs.extract_if(.., ends).collect();
+        let has_ended = |r: &mut Run| r.end_step <= self.step;
+        let ended: Vec<_> = self.runs.extract_if(.., has_ended).collect();
         for run in ended {
             if run.request == POISON {
                 self.runs.push(Run {
-                    end: u32::MAX,
+                    end_step: u32::MAX,
                     ..run
                 });
                 self.crash(self.runs.last().expect("it was pushed").endpoint);
-            } else if self.back[run.endpoint] <= self.now {
-                self.routers[run.router].complete(run.request, &self.vms[run.endpoint]);
-                self.toll.innocent += 1;
+            } else if self.up_from[run.endpoint] <= self.step {
+                self.routers[run.router].complete(run.request, &self.endpoint_vms[run.endpoint]);
+                self.totals.answered += 1;
             } else {
                 self.queues[run.router].push_back(run.request);
             }
         }
         (0..ROUTERS).for_each(|r| self.dispatch(r));
-        self.now += 1;
+        self.step += 1;
     }
 }
 
-fn poison(seed: u64, quarantine: bool) -> Toll {
-    let mut world = World {
-        now: 0,
-        base: start(),
-        vms: (0..ENDPOINTS).map(|e| name(&format!("e{e}"))).collect(),
-        names: (0..ROUTERS).map(|r| name(&format!("r{r}"))).collect(),
-        back: [0; ENDPOINTS],
+fn simulate(seed: u64, use_quarantine: bool) -> Totals {
+    let mut sim = Simulation {
+        step: 0,
+        start_time: start(),
+        endpoint_vms: (0..ENDPOINTS).map(|e| name(&format!("e{e}"))).collect(),
+        router_vms: (0..ROUTERS).map(|r| name(&format!("r{r}"))).collect(),
+        up_from: [0; ENDPOINTS],
         runs: Vec::new(),
         queues: vec![VecDeque::new(); ROUTERS],
         routers: (0..ROUTERS).map(|_| Quarantine::new()).collect(),
         records: Vec::new(),
         ledger: IndexMap::new(),
-        toll: Toll::default(),
-        quarantine,
+        totals: Totals::default(),
+        use_quarantine,
         rng: ChaCha8Rng::seed_from_u64(seed),
     };
     let mut next = 1;
     let mut tries = 0;
-    while world.now < 600 {
-        if world.now < 500 {
+    while sim.step < 600 {
+        if sim.step < 500 {
             for router in 0..ROUTERS {
-                world.queues[router].push_back(Fingerprint(next));
+                sim.queues[router].push_back(Fingerprint(next));
                 next += 1;
             }
         }
         // The caller has its failure and goes to the next router.
-        if world.now % 10 == 9 && world.now > 30 && tries < TRIES {
-            world.queues[tries % ROUTERS].push_back(POISON);
+        if sim.step % 10 == 9 && sim.step > 30 && tries < POISON_TRIES {
+            sim.queues[tries % ROUTERS].push_back(POISON);
             tries += 1;
         }
-        world.step();
+        sim.advance();
     }
-    world.toll
+    sim.totals
 }
 
 /// One request crashes each endpoint that runs it, and its caller sends it ten times, each time to another router. What
 /// ran beside it must be answered, and the request refused before it has cost more than three endpoints.
 #[test]
 fn poison_costs_three_endpoints() {
-    let tolls = |quarantine| (0..50).map(move |seed| poison(seed, quarantine));
-    let most = tolls(true).map(|t| t.crashes).max().unwrap_or_default();
-    let refused: usize = tolls(true).map(|t| t.refused).sum();
-    let answered: usize = tolls(true).map(|t| t.innocent).sum();
-    let plain = tolls(false).map(|t| t.crashes).max().unwrap_or_default();
+    let all_totals = |quarantine| (0..50).map(move |seed| simulate(seed, quarantine));
+    let max_crashes = all_totals(true)
+        .map(|t| t.crashes)
+        .max()
+        .unwrap_or_default();
+    let refused: usize = all_totals(true).map(|t| t.refused).sum();
+    let answered: usize = all_totals(true).map(|t| t.answered).sum();
+    let baseline = all_totals(false)
+        .map(|t| t.crashes)
+        .max()
+        .unwrap_or_default();
     println!(
-        "poison: most crashes {most}, plain {plain}; innocent answered {answered}, refused {refused}"
+        "poison: at most {max_crashes} crashes, {baseline} without quarantine; other requests: \
+         {answered} answered, {refused} refused"
     );
 }
