--- a/tests/decisions/herd.rs
+++ b/tests/decisions/herd.rs
@@ -14,16 +14,16 @@
 struct Caller {
     router: usize,
     alternates: Vec<usize>,
-    until: f64,
+    valid_until: f64,
 }
 
 /// What became of the callers: the most that one router had after a death, of an equal share; the most questions in a
 /// second; and how long a leaving router still had callers.
 #[derive(Debug)]
-struct Herd {
-    most: f64,
-    asked: usize,
-    left: f64,
+struct Measured {
+    max_share: f64,
+    peak_queries: usize,
+    drain_secs: f64,
 }
 
 fn peers(callers: &[Caller], dead: Option<usize>, leaving: Option<usize>) -> Vec<Peer> {
@@ -33,24 +33,30 @@
             vm: name(&format!("r{r}")),
             domain: name(&format!("d{}", r % 3)),
             address: r.to_string(),
-            load: count(callers, r) as f64 / (CALLERS as f64 / 4.0),
+            load: caller_count(callers, r) as f64 / (CALLERS as f64 / 4.0),
             leaving: Some(r) == leaving,
         })
         .collect()
 }
 
-fn count(callers: &[Caller], router: usize) -> usize {
+fn caller_count(callers: &[Caller], router: usize) -> usize {
     callers.iter().filter(|c| c.router == router).count()
 }
 
 /// Asks for advice; the plain answer is the first router, and all others in order, for a minute.
-fn ask(caller: &mut Caller, now: f64, peers: &[Peer], plain: bool, rng: &mut ChaCha8Rng) {
-    let number = |address: &str| address.parse::<usize>().expect("a number");
-    if plain {
+fn request_advice(
+    caller: &mut Caller,
+    now: f64,
+    peers: &[Peer],
+    baseline: bool,
+    rng: &mut ChaCha8Rng,
+) {
+    let index = |address: &str| address.parse::<usize>().expect("a number");
+    if baseline {
         let mut order: Vec<_> = peers
             .iter()
             .filter(|p| !p.leaving)
-            .map(|p| number(&p.address))
+            .map(|p| index(&p.address))
             .collect();
         // Its generous side: callers start evenly spread, and stay where they are while they can.
         if let Some(at) = order.iter().position(|r| *r >= caller.router) {
@@ -58,28 +64,28 @@
         }
         caller.router = order[0];
         caller.alternates = order[1..].to_vec();
-        caller.until = now + 60.0;
+        caller.valid_until = now + 60.0;
         return;
     }
     let advice = advise(peers, None, rng).expect("some are alive");
-    caller.router = number(&advice.address);
-    caller.alternates = advice.alternates.iter().map(|a| number(a)).collect();
-    caller.until = now + advice.ttl.as_secs_f64();
+    caller.router = index(&advice.address);
+    caller.alternates = advice.alternates.iter().map(|a| index(a)).collect();
+    caller.valid_until = now + advice.ttl.as_secs_f64();
 }
 
-fn herd(plain: bool) -> Herd {
+fn simulate(baseline: bool) -> Measured {
     let mut rng = rng();
     let mut callers: Vec<_> = (0..CALLERS)
         .map(|n| Caller {
             router: n % ROUTERS,
             alternates: Vec::new(),
-            until: 0.0,
+            valid_until: 0.0,
         })
         .collect();
-    let mut herd = Herd {
-        most: 0.0,
-        asked: 0,
-        left: 0.0,
+    let mut measured = Measured {
+        max_share: 0.0,
+        peak_queries: 0,
+        drain_secs: 0.0,
     };
     let mut known = peers(&callers, None, None);
     for now in 0..300 {
@@ -89,44 +95,46 @@
         if now % 2 == 0 {
             known = peers(&callers, (now >= 102).then_some(0), leaving);
         }
-        let mut asked = 0;
+        let mut queries = 0;
         for caller in &mut callers {
             // Each calls every other second on average.
             if rng.random_range(0..2) > 0 {
                 continue;
             }
-            if f64::from(now) >= caller.until {
-                ask(caller, f64::from(now), &known, plain, &mut rng);
-                asked += 1;
+            if f64::from(now) >= caller.valid_until {
+                request_advice(caller, f64::from(now), &known, baseline, &mut rng);
+                queries += 1;
             }
             if Some(caller.router) == dead && !caller.alternates.is_empty() {
                 caller.router = caller.alternates.remove(0);
             }
         }
-        let even = CALLERS as f64 / (ROUTERS - 1) as f64;
+        let even_share = CALLERS as f64 / (ROUTERS - 1) as f64;
         if (101..200).contains(&now) {
-            let most = (1..ROUTERS).map(|r| count(&callers, r)).max();
-            herd.most = herd.most.max(most.unwrap_or_default() as f64 / even);
+            let max = (1..ROUTERS).map(|r| caller_count(&callers, r)).max();
+            measured.max_share = measured
+                .max_share
+                .max(max.unwrap_or_default() as f64 / even_share);
         }
         if now > 60 {
-            herd.asked = herd.asked.max(asked);
+            measured.peak_queries = measured.peak_queries.max(queries);
         }
-        if now >= 200 && count(&callers, 1) > 0 {
-            herd.left = f64::from(now - 200);
+        if now >= 200 && caller_count(&callers, 1) > 0 {
+            measured.drain_secs = f64::from(now - 200);
         }
     }
-    herd
+    measured
 }
 
 /// A router dies and its callers go to their alternates; later another leaves. If all of them have the same next one, that
 /// one falls over in its turn.
 #[test]
-fn herd_after_a_death() {
-    let ours = herd(false);
-    let plain = herd(true);
-    println!("herd: ours {ours:?}\nherd: plain {plain:?}");
-    assert!(ours.most < 1.2 && plain.most > 1.5);
+fn callers_spread_after_a_router_crash() {
+    let library = simulate(false);
+    let baseline = simulate(true);
+    println!("herd: library {library:?}\nherd: baseline {baseline:?}");
+    assert!(library.max_share < 1.2 && baseline.max_share > 1.5);
     // An answer is kept for 45 s at most, is 2 s old, and is only missed at the next call, up to some seconds later.
-    assert!(ours.left <= 55.0 && ours.left <= plain.left);
-    assert!(ours.asked < plain.asked);
+    assert!(library.drain_secs <= 55.0 && library.drain_secs <= baseline.drain_secs);
+    assert!(library.peak_queries < baseline.peak_queries);
 }
