--- a/tests/decisions/owners.rs
+++ b/tests/decisions/owners.rs
@@ -29,29 +29,32 @@
     routers.collect()
 }
 
-fn team(at: usize) -> TeamId {
-    name(&format!("team-{at}"))
+fn team(index: usize) -> TeamId {
+    name(&format!("team-{index}"))
 }
 
-fn kept(owners: &Owners, at: usize) -> Vec<VmId> {
-    owners.for_team(&team(at)).into_iter().cloned().collect()
+fn owners_of(owners: &Owners, index: usize) -> Vec<VmId> {
+    owners.for_team(&team(index)).into_iter().cloned().collect()
 }
 
 /// Two hundred routers that each draw what one request needs write eight hundred times a second to a partition that takes a
 /// hundred and fifty, and callers wait. Here sixteen routers write, the large ones first, and a team's three owners stand in
 /// three failure domains, so that none of these takes its budget along.
 #[test]
-fn a_large_fleet_has_few_owners() {
+fn large_fleet_has_few_owners() {
     let routers = fleet(200);
     let owners = Owners::select(routers.clone());
     let mut all = indexmap::IndexSet::new();
-    for at in 0..TEAMS {
-        let vms = kept(&owners, at);
-        let of = |vm: &VmId| routers.iter().find(|router| router.vm == *vm);
-        let domains = vms.iter().filter_map(of).map(|router| &router.domain);
+    for index in 0..TEAMS {
+        let vms = owners_of(&owners, index);
+        let candidate = |vm: &VmId| routers.iter().find(|router| router.vm == *vm);
+        let domains = vms
+            .iter()
+            .filter_map(candidate)
+            .map(|router| &router.domain);
         let domains: indexmap::IndexSet<_> = domains.collect();
         assert_eq!(vms.len(), 3);
-        assert_eq!(domains.len(), 3, "two of {vms:?} stand together");
+        assert_eq!(domains.len(), 3, "two of {vms:?} share a failure domain");
         all.extend(vms);
     }
     let large = all.iter().filter(|vm| {
@@ -67,32 +70,32 @@
 /// Routers hear of a change in the list at different moments. As long as one is behind it asks owners of before, so that
 /// few may move; and in which order the list names the routers must not matter.
 #[test]
-fn a_router_that_goes_moves_few_teams() {
+fn removing_a_router_moves_few_teams() {
     let all = fleet(200);
-    let mut turned = all.clone();
-    turned.reverse();
+    let mut reversed = all.clone();
+    reversed.reverse();
     let before = Owners::select(all.clone());
-    let again = Owners::select(turned);
+    let after_reversal = Owners::select(reversed);
     let mut moved = 0;
-    for gone in 0..all.len() {
+    for removed in 0..all.len() {
         let mut rest = all.clone();
-        rest.remove(gone);
+        rest.remove(removed);
         let after = Owners::select(rest);
-        let moves = |at: &usize| kept(&before, *at) != kept(&after, *at);
-        moved += (0..TEAMS).filter(moves).count();
+        let has_moved = |index: &usize| owners_of(&before, *index) != owners_of(&after, *index);
+        moved += (0..TEAMS).filter(has_moved).count();
     }
-    for at in 0..TEAMS {
-        assert_eq!(kept(&before, at), kept(&again, at));
+    for index in 0..TEAMS {
+        assert_eq!(owners_of(&before, index), owners_of(&after_reversal, index));
     }
     let share = moved as f64 / (all.len() * TEAMS) as f64;
-    println!("{share:.3} of the teams move when a router goes");
+    println!("{share:.3} of the teams move when a router is removed");
     assert!(share < 0.05, "{share:.3}");
 }
 
 /// In a small fleet each router keeps what its callers need: a cut between two routers then stops nobody.
 #[test]
-fn in_a_small_fleet_all_keep() {
+fn all_routers_of_a_small_fleet_are_owners() {
     let owners = Owners::select(fleet(16));
     assert!(owners.includes_all());
-    assert!(kept(&owners, 0).is_empty());
+    assert!(owners_of(&owners, 0).is_empty());
 }
