--- a/tests/decisions/call_times.rs
+++ b/tests/decisions/call_times.rs
@@ -6,7 +6,7 @@
 
 /// Guards against giving up each write before its answer where the link's own queue takes most of a second.
 #[test]
-fn an_answer_may_take_longer_where_connections_do() {
+fn timeout_grows_with_connection_time() {
     let mut times = CallTimes::default();
     assert_eq!(times.timeout(ms(500)), ms(500));
     times.sample(ms(700));
@@ -15,7 +15,7 @@
 
 /// Guards against a router that takes seconds to notice that the store is away.
 #[test]
-fn an_answer_may_not_take_ever_longer() {
+fn timeout_is_bounded() {
     let mut times = CallTimes::default();
     times.sample(ms(30_000));
     assert_eq!(times.timeout(ms(500)), ms(2000));
@@ -23,7 +23,7 @@
 
 /// Guards against a limit that a burst has raised for good.
 #[test]
-fn an_answer_may_take_less_again_after_a_burst() {
+fn timeout_falls_after_a_burst() {
     let mut times = CallTimes::default();
     times.sample(ms(900));
     (0..10).for_each(|_| times.sample(ms(4)));
