--- a/tests/decisions/each.rs
+++ b/tests/decisions/components.rs
@@ -38,7 +38,7 @@
 
 /// A client loops without a pause. Its callers are told later and later places, and none before the rate allows it.
 #[test]
-fn account_limit_spaces_refusals() {
+fn account_limit_staggers_retry_times() {
     let now = start();
     let limits = Limits {
         rate: 10,
@@ -54,7 +54,10 @@
         .collect();
     assert_eq!(waits, [ms(100), ms(200), ms(300)]);
     assert_eq!(limit.try_acquire(now + ms(100)), Ok(()));
-    assert!(limit.try_acquire(now + ms(1000)).is_err(), "three are in");
+    assert!(
+        limit.try_acquire(now + ms(1000)).is_err(),
+        "3 requests are in progress"
+    );
     limit.release();
     assert_eq!(limit.try_acquire(now + ms(1000)), Ok(()));
 }
@@ -73,7 +76,7 @@
 
 /// A load report counts what this router sent before it. What was sent since then comes on top, and is not counted twice.
 #[test]
-fn chooser_corrects_lagged_reports() {
+fn chooser_corrects_delayed_load_reports() {
     let now = start();
     let (mut chooser, _, vms, _) = pool(1);
     chooser.start(now, &vms[0]);
@@ -87,24 +90,24 @@
     assert_eq!(
         chooser.load(now + ms(600), &vms[0]),
         Some(4),
-        "two of others, two of its own"
+        "2 sent by other routers, 2 by this one"
     );
     assert_eq!(
         chooser.load(now + ms(20_000), &vms[0]),
         Some(2),
-        "reports ceased"
+        "the report is outdated"
     );
 }
 
 /// Endpoints leave, fail the request or fill up. Nothing new goes there, and where all do, nothing is chosen.
 #[test]
-fn chooser_avoids_what_cannot_serve() {
+fn chooser_skips_unusable_endpoints() {
     let now = start();
     let (mut chooser, ejector, vms, domain) = pool(3);
     let index = PrefixIndex::new();
     let model = name("m");
     let excluded = [vms[0].clone()];
-    let wish = Criteria {
+    let criteria = Criteria {
         model: Some(&model),
         prefix: &[],
         domain: &domain,
@@ -115,26 +118,26 @@
     chooser.set_leaving(&vms[1], true);
     for _ in 0..4 {
         let choice = chooser
-            .choose(now, &wish, &index, &ejector, &mut rng())
+            .choose(now, &criteria, &index, &ejector, &mut rng())
             .unwrap();
         assert_eq!(choice.endpoint, vms[2]);
         chooser.start(now, &vms[2]);
     }
     assert_eq!(
-        chooser.choose(now, &wish, &index, &ejector, &mut rng()),
+        chooser.choose(now, &criteria, &index, &ejector, &mut rng()),
         None
     );
 }
 
 /// A conversation goes on. Its next turn goes where its prefix is cached, until that endpoint says otherwise.
 #[test]
-fn chooser_follows_the_prefix() {
+fn chooser_prefers_cached_prefix() {
     let now = start();
     let (chooser, ejector, vms, domain) = pool(12);
     let mut index = PrefixIndex::new();
     let prompt: Vec<_> = (0..300).map(BlockHash).collect();
     index.record_cached(&vms[7], &prompt[..200]);
-    let wish = Criteria {
+    let criteria = Criteria {
         model: None,
         prefix: &prompt,
         domain: &domain,
@@ -143,7 +146,7 @@
         prompt: None,
     };
     let choice = chooser
-        .choose(now, &wish, &index, &ejector, &mut rng())
+        .choose(now, &criteria, &index, &ejector, &mut rng())
         .unwrap();
     assert_eq!((choice.endpoint, choice.cached), (vms[7].clone(), 200));
     index.record_evicted(&vms[7], &prompt);
@@ -152,7 +155,7 @@
 
 /// One endpoint fails all that it gets. It goes out, is tried again at growing intervals, and comes back when it is well.
 #[test]
-fn ejector_tries_again_at_growing_intervals() {
+fn ejector_backs_off_between_trials() {
     let mut now = start();
     let mut rng = rng();
     let (_, mut ejector, vms, _) = pool(12);
@@ -179,7 +182,7 @@
 
 /// Checks of all endpoints fail at once, though they answer. A fifth of the pool may go out, and no more.
 #[test]
-fn ejector_keeps_most_of_the_pool() {
+fn ejector_limits_ejected_share() {
     let now = start();
     let mut rng = rng();
     let (_, mut ejector, vms, _) = pool(15);
@@ -195,7 +198,7 @@
 
 /// All endpoints fail for a while. Retries add a tenth to the load, plus one a second.
 #[test]
-fn retries_are_a_share_of_requests() {
+fn retry_budget_is_a_share_of_requests() {
     let mut now = start();
     let mut budget = RetryBudget::new(now);
     let mut retries = 0;
@@ -214,7 +217,7 @@
 /// All endpoints are well for half a minute and then fail together. The retries that were not needed before come on top of
 /// those that are allowed meanwhile; were they as many, endpoints would be sent twice what they may be in ten seconds.
 #[test]
-fn saved_retries_are_a_quarter_of_a_window() {
+fn saved_retries_are_limited() {
     let mut now = start();
     let mut budget = RetryBudget::new(now);
     let mut retries = 0;
@@ -232,7 +235,7 @@
 /// A budget drains. A router draws while there is plenty, and gives back what would strand when little is left.
 #[test]
 fn holdings_follow_the_budget() {
-    let share = BudgetView {
+    let view = BudgetView {
         free: Tokens(0),
         claimed: Tokens(0),
         undrawn: Tokens(7_000_000),
@@ -244,43 +247,46 @@
     };
     let strict = HoldingPolicy::new(ConsistencyMode::Strict);
     let available = HoldingPolicy::new(ConsistencyMode::Available);
-    assert_eq!(strict.decide(&share), HoldingAction::Draw(Tokens(540_500)));
+    assert_eq!(strict.decide(&view), HoldingAction::Draw(Tokens(540_500)));
     assert_eq!(
-        available.decide(&share),
+        available.decide(&view),
         HoldingAction::Draw(Tokens(540_500))
     );
-    let low = BudgetView {
+    let nearly_spent = BudgetView {
         free: Tokens(90_000),
         undrawn: Tokens(7000),
-        ..share
+        ..view
     };
-    assert_eq!(strict.decide(&low), HoldingAction::Return(Tokens(35_400)));
     assert_eq!(
-        available.decide(&low),
+        strict.decide(&nearly_spent),
+        HoldingAction::Return(Tokens(35_400))
+    );
+    assert_eq!(
+        available.decide(&nearly_spent),
         HoldingAction::Return(Tokens(29_334))
     );
-    let scattered = BudgetView {
+    let fragmented = BudgetView {
         free: Tokens(400),
         undrawn: Tokens(50),
-        ..share
+        ..view
     };
     assert_eq!(
-        strict.decide(&scattered),
+        strict.decide(&fragmented),
         HoldingAction::Return(Tokens(400))
     );
-    let parted = BudgetView {
+    let partitioned = BudgetView {
         reachable: false,
-        ..share
+        ..view
     };
-    assert_eq!(strict.decide(&parted), HoldingAction::None);
+    assert_eq!(strict.decide(&partitioned), HoldingAction::None);
 }
 
 /// A team has 43 tokens left and one router. Were the aim taken from what is undrawn alone, each draw would lower it, and
 /// the same tokens would go to and fro at each commit; an operator sees the log full of draws and returns.
 #[test]
-fn a_draw_is_not_returned_at_once() {
-    for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
-        let policy = HoldingPolicy::new(lean);
+fn draw_is_not_returned_at_once() {
+    for mode in [ConsistencyMode::Strict, ConsistencyMode::Available] {
+        let policy = HoldingPolicy::new(mode);
         let before = BudgetView {
             free: Tokens(0),
             claimed: Tokens(0),
@@ -292,14 +298,14 @@
             reachable: true,
         };
         let HoldingAction::Draw(drawn) = policy.decide(&before) else {
-            panic!("{lean:?} draws nothing");
+            panic!("{mode:?} does not draw");
         };
         let after = BudgetView {
             free: drawn,
             undrawn: before.undrawn - drawn,
             ..before
         };
-        assert_eq!(policy.decide(&after), HoldingAction::None, "{lean:?}");
+        assert_eq!(policy.decide(&after), HoldingAction::None, "{mode:?}");
     }
 }
 
@@ -319,23 +325,23 @@
     let advice: Vec<_> = (0..1000)
         .filter_map(|_| advise(&peers, None, &mut rng))
         .collect();
-    let to = |n: usize| {
+    let count_to = |n: usize| {
         advice
             .iter()
             .filter(|a| a.address == peers[n].address)
             .count()
     };
-    assert_eq!((advice.len(), to(0)), (1000, 0));
-    assert!(to(1) < 60 && to(2) > 400 && to(3) > 400);
+    assert_eq!((advice.len(), count_to(0)), (1000, 0));
+    assert!(count_to(1) < 60 && count_to(2) > 400 && count_to(3) > 400);
     assert!(advice.iter().all(|a| a.alternates.len() == 2));
-    let early = advice.iter().filter(|a| a.ttl < ms(30_000)).count();
-    assert!((400..600).contains(&early), "{early}");
+    let short_lived = advice.iter().filter(|a| a.ttl < ms(30_000)).count();
+    assert!((400..600).contains(&short_lived), "{short_lived}");
     assert_eq!(advise(&peers[..1], None, &mut rng), None);
 }
 
 /// An endpoint's events get lost, or it evicts unseen. What was known of it counts less, and goes when an answer says so.
 #[test]
-fn prefixes_are_doubted_after_gaps() {
+fn prefix_confidence_falls_after_event_gaps() {
     let (vm, prompt) = (name("e0"), [1, 2, 3, 4].map(BlockHash));
     let mut index = PrefixIndex::new();
     let event = |sequence, stored: &[BlockHash], removed: &[BlockHash]| CacheEvent {
@@ -352,57 +358,64 @@
     index.apply_event(&vm, &event(2, &[], &prompt[3..]));
     assert_eq!(found(&index), (3, 1.0));
     index.apply_event(&vm, &event(5, &[], &[]));
-    let (blocks, trust) = found(&index);
-    assert!(blocks == 3 && trust < 1.0, "{trust}");
+    let (blocks, confidence) = found(&index);
+    assert!(blocks == 3 && confidence < 1.0, "{confidence}");
     index.apply_event(&vm, &event(3, &prompt, &prompt[2..]));
-    assert_eq!(found(&index), (2, trust), "a late event only takes away");
+    assert_eq!(
+        found(&index),
+        (2, confidence),
+        "a late event only removes blocks"
+    );
     index.apply_event(&vm, &event(1, &prompt[..1], &[]));
-    assert_eq!(found(&index), (1, 1.0), "a restart begins anew");
+    assert_eq!(found(&index), (1, 1.0), "a restart resets the index");
     index.record_served(&vm, &prompt, 4, 0);
-    assert!(found(&index).1 < 1.0, "it had less than thought");
+    assert!(
+        found(&index).1 < 1.0,
+        "fewer blocks were cached than expected"
+    );
     index.record_served(&vm, &prompt, 4, 4);
     assert_eq!(found(&index), (4, 1.0));
 }
 
 /// An endpoint does less than its setting says, and says that requests wait there. Less is sent to it, and more again later.
 #[test]
-fn endpoint_limit_follows_the_endpoint() {
+fn endpoint_limit_follows_load_reports() {
     let mut now = start();
     let mut limit = EndpointLimit::new(32);
-    let full = Load {
+    let overloaded = Load {
         running: 8,
         waiting: 8,
         measured: now,
     };
     for _ in 0..20 {
         now += ms(1000);
-        limit.report(now, full);
+        limit.report(now, overloaded);
     }
-    let low = limit.limit();
-    assert!(low <= 8, "{low}");
+    let reduced = limit.limit();
+    assert!(reduced <= 8, "{reduced}");
     for _ in 0..200 {
         while limit.try_acquire() {}
         now += ms(100);
         limit.release(now, Sample::Answered(ms(100)));
     }
-    assert!(limit.limit() > low + 4 && limit.limit() <= 32);
+    assert!(limit.limit() > reduced + 4 && limit.limit() <= 32);
 }
 
 /// One request crashes whatever runs it, beside others that do nothing wrong. It is refused after two endpoints, and the
 /// others, which run again apart from each other, complete and are cleared.
 #[test]
-fn quarantine_tells_the_poison_from_the_innocent() {
+fn quarantine_isolates_the_poison_request() {
     let now = start();
     let [e0, e1, e2]: [VmId; 3] = ["e0", "e1", "e2"].map(name);
-    let [poison, innocent, later] = [1, 2, 3].map(Fingerprint);
+    let [poison, harmless, later] = [1, 2, 3].map(Fingerprint);
     let mut quarantine = Quarantine::new();
     quarantine.start(poison, &e0);
-    quarantine.start(innocent, &e0);
+    quarantine.start(harmless, &e0);
     assert_eq!(quarantine.record_crash(now, &e0).len(), 2);
-    assert_eq!(quarantine.isolation(innocent), Isolation::Isolated);
+    assert_eq!(quarantine.isolation(harmless), Isolation::Isolated);
     quarantine.start(poison, &e1);
     assert_eq!(
-        quarantine.forbidden_endpoints(innocent),
+        quarantine.forbidden_endpoints(harmless),
         std::slice::from_ref(&e1)
     );
     assert_eq!(
@@ -410,9 +423,9 @@
         std::slice::from_ref(&e1)
     );
     quarantine.start(later, &e1);
-    quarantine.start(innocent, &e2);
-    quarantine.complete(innocent, &e2);
-    assert_eq!(quarantine.isolation(innocent), Isolation::None);
+    quarantine.start(harmless, &e2);
+    quarantine.complete(harmless, &e2);
+    assert_eq!(quarantine.isolation(harmless), Isolation::None);
     assert_eq!(quarantine.record_crash(now + ms(5000), &e1), [poison]);
     assert_eq!(quarantine.isolation(poison), Isolation::Refused);
     assert_eq!(quarantine.isolation(later), Isolation::None);
@@ -420,7 +433,7 @@
 
 /// A rack dies, and requests sent from its first endpoint to its second die twice. They are not refused for that.
 #[test]
-fn quarantine_sees_a_rack_die() {
+fn quarantine_ignores_correlated_crashes() {
     let now = start();
     let mut quarantine = Quarantine::new();
     for n in 0..4 {
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -5,7 +5,7 @@
 mod call_times;
 mod capacity;
 mod cold;
-mod each;
+mod components;
 mod engine;
 mod herd;
 mod homes;
