--- a/tests/decisions/call_times.rs
+++ b/tests/decisions/call_times.rs
@@ -1,10 +1,10 @@
-//! A VM whose link to the store is full.
+//! Timeouts of calls over a saturated link to the store.
 
 use jasmineridge::CallTimes;
 
 use crate::ms;
 
-/// Guards against giving up each write before its answer where the link's own queue takes most of a second.
+/// Guards against abandoning each write before its answer when packets queue for most of a second on the link.
 #[test]
 fn timeout_grows_with_connection_time() {
     let mut times = CallTimes::default();
@@ -13,7 +13,7 @@
     assert_eq!(times.timeout(ms(500)), ms(1400));
 }
 
-/// Guards against a router that takes seconds to notice that the store is away.
+/// Guards against a router that takes many seconds to notice that the store is unreachable.
 #[test]
 fn timeout_is_bounded() {
     let mut times = CallTimes::default();
@@ -21,7 +21,7 @@
     assert_eq!(times.timeout(ms(500)), ms(2000));
 }
 
-/// Guards against a limit that a burst has raised for good.
+/// Guards against a timeout that stays high after a burst.
 #[test]
 fn timeout_falls_after_a_burst() {
     let mut times = CallTimes::default();
--- a/tests/decisions/capacity.rs
+++ b/tests/decisions/capacity.rs
@@ -1,4 +1,4 @@
-//! Addresses of VMs of unequal size, judged by how callers spread over them.
+//! Distribution of callers over VMs of unequal size.
 
 use jasmineridge::Capacity;
 use jasmineridge::draw_by_capacity;
@@ -16,7 +16,7 @@
     link_mbps: 10,
 };
 
-/// Returns how many of ten thousand callers, who pick one of the addresses told at random, go to each VM.
+/// Returns how many of ten thousand callers go to each VM, if each picks a random one of the listed addresses.
 fn callers_per_vm(vms: &[Capacity]) -> Vec<u32> {
     let mut rng = rng();
     let mut counts = vec![0; vms.len()];
@@ -28,8 +28,9 @@
     counts
 }
 
-/// Seventy VMs with a twentieth of the link stand beside eight large ones. Told all addresses, nine callers in ten would
-/// press their prompts through the small links and be late; by size, a small one gets a small part.
+/// Some seventy VMs with a twentieth of the link capacity run beside eight large ones. With all addresses listed, nine
+/// callers in ten would send their prompts over the small links and be late; drawn by capacity, a small VM gets a small
+/// share.
 #[test]
 fn callers_spread_by_capacity() {
     let vms = [vec![LARGE; 8], vec![SMALL; 72]].concat();
@@ -40,14 +41,15 @@
     assert!(counts[8..].iter().all(|count| *count < 150));
 }
 
-/// All VMs are alike, and all are told.
+/// VMs of equal capacity are all listed.
 #[test]
 fn equal_vms_are_all_listed() {
     let all = (0..7).map(|n| (SMALL, n)).collect();
     assert_eq!(draw_by_capacity(all, &mut rng()).len(), 7);
 }
 
-/// A single large VM stands among small ones. Told alone, its callers would have nowhere to go when it dies.
+/// There is one large VM among small ones. If only its address were listed, its callers would have no alternative when
+/// it fails.
 #[test]
 fn answer_lists_more_than_the_largest_vm() {
     let vms = [vec![LARGE], vec![SMALL; 5]].concat();
--- a/tests/decisions/cold.rs
+++ b/tests/decisions/cold.rs
@@ -1,4 +1,4 @@
-//! Many routers before endpoints that are cold, judged by what each endpoint gets in a second.
+//! Cold endpoints behind many routers: requests that each endpoint receives in one second.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,26 +21,26 @@
 use crate::rng;
 use crate::start;
 
-/// What a cold endpoint bears a second.
+/// Requests per second that a cold endpoint can take from all routers together.
 const COLD_RATE_PER_SEC: u32 = 14;
 
-/// How long an endpoint is cold.
+/// How long an endpoint stays cold.
 const WARMUP: Duration = Duration::from_secs(3);
 
-/// How long a run takes.
+/// Duration of a request.
 const RUN_TIME: Duration = Duration::from_millis(400);
 
-/// Routers that choose among the same endpoints without a word between them.
+/// Routers that choose among the same endpoints without communicating.
 struct Fleet {
     routers: Vec<VmId>,
     choosers: Vec<Chooser>,
     health: Ejector,
-    /// When each run ends, at which router and endpoint.
+    /// End, router and endpoint of each request in progress.
     runs: Vec<(Instant, usize, VmId)>,
 }
 
 impl Fleet {
-    /// Makes one before so many endpoints, which have so many slots.
+    /// Creates a fleet of `routers` routers and `endpoints` endpoints with `slots` slots each.
     fn new(now: Instant, routers: usize, endpoints: usize, slots: u32) -> Self {
         let routers: Vec<VmId> = (0..routers).map(|n| name(&format!("vm-{n}"))).collect();
         let mut health = Ejector::new(EjectionLimits::default());
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Has endpoints be cold until a time, as all routers know.
+    /// Marks endpoints as cold until the given time, at all routers.
     fn set_cold(&mut self, until: Instant, endpoints: std::ops::Range<usize>) {
         for vm in endpoints.map(endpoint) {
             for (router, chooser) in self.routers.iter().zip(&mut self.choosers) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Sends a request from a router, and returns where it goes.
+    /// Sends a request through a router, and returns the endpoint chosen.
     fn send<R>(&mut self, now: Instant, router: usize, rng: &mut R) -> Option<VmId>
     where
         R: Rng,
@@ -111,7 +111,7 @@
     name(&format!("endpoint-{n}"))
 }
 
-/// Returns the most of some times that lie within one second.
+/// Returns the largest number of `times` that lie within one second.
 fn max_in_one_second(times: &[Instant]) -> usize {
     let count_from = |from: &Instant| {
         let second = Duration::from_secs(1);
@@ -121,8 +121,8 @@
     times.iter().map(count_from).max().unwrap_or(0)
 }
 
-/// Has a failure domain come back cold to a fleet one of whose routers has a fifth of all arrivals, and returns how many
-/// requests the busiest cold endpoint gets in any second, and how many cold ones get in all.
+/// Simulates a failure domain that comes back cold, in a fleet where one router receives a fifth of all requests.
+/// Returns the most requests that a cold endpoint receives in one second, and the total that cold endpoints receive.
 fn cold_domain_load(routers: usize, warm: usize) -> (usize, usize) {
     let mut rng = rng();
     let mut now = start();
@@ -148,7 +148,7 @@
     (peak.unwrap_or(0), sent.iter().map(Vec::len).sum::<usize>())
 }
 
-/// Guards against a failure domain that comes back cold and crashes under what all routers send it at once.
+/// Guards against a failure domain that comes back cold and crashes under the combined load of all routers.
 #[test]
 fn cold_endpoints_stay_within_their_rate() {
     for routers in [1, 6, 14, 86, 300] {
@@ -157,7 +157,8 @@
             peak <= COLD_RATE_PER_SEC as usize,
             "{routers} routers: {peak}"
         );
-        // What they bear is used: a single router of many is asked for more than its share, so that not all of it is.
+        // At least half of the capacity is used. Not all of it is: one router receives requests beyond its share of
+        // the rate, while others leave part of theirs unused.
         let capacity = 20 * COLD_RATE_PER_SEC as usize * WARMUP.as_secs() as usize;
         assert!(
             total * 2 > capacity,
@@ -166,13 +167,13 @@
     }
 }
 
-/// Guards against cold endpoints that are taken for the best ones because they are idle.
+/// Guards against preferring cold endpoints because they are idle.
 #[test]
 fn warm_endpoints_are_preferred() {
     assert_eq!(cold_domain_load(86, 40).1, 0);
 }
 
-/// Guards against requests that are refused though cold endpoints would carry them: the warm ones are full.
+/// Guards against refusing a request that a cold endpoint could run when the warm ones are full.
 #[test]
 fn cold_endpoints_take_overflow_of_full_warm_ones() {
     let mut rng = rng();
@@ -184,7 +185,7 @@
     assert!(fleet.send(now, 0, &mut rng).is_some());
 }
 
-/// Guards against an endpoint that is held to its cold rate for ever.
+/// Guards against limiting an endpoint to its cold rate after it has warmed up.
 #[test]
 fn endpoint_is_warm_after_warmup() {
     let mut rng = rng();
@@ -196,8 +197,8 @@
     assert_eq!(served.count(), 300);
 }
 
-/// Guards against routers that know different parts of the fleet, as while VMs are added and lost, and together send a cold
-/// endpoint more than the half beyond its rate that it bears.
+/// Guards against overloading a cold endpoint while routers know different parts of the fleet, as when VMs are added or
+/// lost. The sum of their shares may exceed the rate by half, which an endpoint can take.
 #[test]
 fn cold_rate_holds_when_routers_know_different_fleets() {
     let mut rng = rng();
--- a/tests/decisions/components.rs
+++ b/tests/decisions/components.rs
@@ -1,4 +1,4 @@
-//! Each decision by itself.
+//! Tests of single decision components.
 
 use std::time::Duration;
 
@@ -36,7 +36,8 @@
 use crate::rng;
 use crate::start;
 
-/// A client loops without a pause. Its callers are told later and later places, and none before the rate allows it.
+/// A client retries in a loop without a pause. Successive refusals ask for increasing waits, none shorter than the rate
+/// allows.
 #[test]
 fn account_limit_staggers_retry_times() {
     let now = start();
@@ -74,7 +75,8 @@
     (chooser, ejector, vms, domain)
 }
 
-/// A load report counts what this router sent before it. What was sent since then comes on top, and is not counted twice.
+/// A load report includes the requests that this router sent before it was measured. Requests sent since then are
+/// added, and none is counted twice.
 #[test]
 fn chooser_corrects_delayed_load_reports() {
     let now = start();
@@ -99,7 +101,7 @@
     );
 }
 
-/// Endpoints leave, fail the request or fill up. Nothing new goes there, and where all do, nothing is chosen.
+/// Endpoints that are leaving, full, or have failed the request are not chosen. If no other is left, none is chosen.
 #[test]
 fn chooser_skips_unusable_endpoints() {
     let now = start();
@@ -129,7 +131,7 @@
     );
 }
 
-/// A conversation goes on. Its next turn goes where its prefix is cached, until that endpoint says otherwise.
+/// The next turn of a conversation goes to the endpoint that has its prefix cached, until that endpoint evicts it.
 #[test]
 fn chooser_prefers_cached_prefix() {
     let now = start();
@@ -153,7 +155,8 @@
     assert!(index.matches(&prompt).is_empty());
 }
 
-/// One endpoint fails all that it gets. It goes out, is tried again at growing intervals, and comes back when it is well.
+/// An endpoint that fails all its requests is ejected, tried again at growing intervals, and readmitted when it
+/// answers.
 #[test]
 fn ejector_backs_off_between_trials() {
     let mut now = start();
@@ -180,7 +183,7 @@
     }
 }
 
-/// Checks of all endpoints fail at once, though they answer. A fifth of the pool may go out, and no more.
+/// Health checks of all endpoints fail at once although they still answer. At most a fifth of the pool is ejected.
 #[test]
 fn ejector_limits_ejected_share() {
     let now = start();
@@ -196,7 +199,7 @@
     assert!(ejector.ejected() > 0);
 }
 
-/// All endpoints fail for a while. Retries add a tenth to the load, plus one a second.
+/// All endpoints fail for a while. Retries add at most a tenth to the load, plus one per second.
 #[test]
 fn retry_budget_is_a_share_of_requests() {
     let mut now = start();
@@ -214,8 +217,9 @@
     assert!((0..100).all(|_| budget.backoff(3, &mut rng) < ms(100)));
 }
 
-/// All endpoints are well for half a minute and then fail together. The retries that were not needed before come on top of
-/// those that are allowed meanwhile; were they as many, endpoints would be sent twice what they may be in ten seconds.
+/// All endpoints are healthy for half a minute and then fail together. Retries saved until then add to those allowed in
+/// the meantime. If a whole window's worth were saved, endpoints would receive twice the allowed retries within ten
+/// seconds, so only a quarter of a window's worth is kept.
 #[test]
 fn saved_retries_are_limited() {
     let mut now = start();
@@ -228,11 +232,12 @@
             retries += 1;
         }
     }
-    // Ten seconds of a hundred requests each, a tenth of them, and one a second.
+    // Ten seconds with a hundred requests per second: a tenth of these, plus one per second.
     assert!((110..=140).contains(&retries), "{retries}");
 }
 
-/// A budget drains. A router draws while there is plenty, and gives back what would strand when little is left.
+/// A router draws while a budget is large. When little is left, it returns the tokens that would be stranded in its
+/// holding.
 #[test]
 fn holdings_follow_the_budget() {
     let view = BudgetView {
@@ -281,8 +286,8 @@
     assert_eq!(strict.decide(&partitioned), HoldingAction::None);
 }
 
-/// A team has 43 tokens left and one router. Were the aim taken from what is undrawn alone, each draw would lower it, and
-/// the same tokens would go to and fro at each commit; an operator sees the log full of draws and returns.
+/// A team has 43 tokens left and one router. If the target were computed from the undrawn tokens alone, each draw would
+/// lower it, and the same tokens would be drawn and returned at each commit, filling the log with these records.
 #[test]
 fn draw_is_not_returned_at_once() {
     for mode in [ConsistencyMode::Strict, ConsistencyMode::Available] {
@@ -309,7 +314,8 @@
     }
 }
 
-/// A router leaves and another is full. Callers are sent to the rest, and not all at the same moment.
+/// One router is leaving and another is full. Callers are sent to the rest, and their advice expires at different
+/// times.
 #[test]
 fn advice_spreads_callers() {
     let mut rng = rng();
@@ -339,7 +345,8 @@
     assert_eq!(advise(&peers[..1], None, &mut rng), None);
 }
 
-/// An endpoint's events get lost, or it evicts unseen. What was known of it counts less, and goes when an answer says so.
+/// Cache events of an endpoint are lost, or it evicts blocks without an event. Confidence in what it has cached falls
+/// after a gap in the events and when an answer reports fewer cached blocks than expected.
 #[test]
 fn prefix_confidence_falls_after_event_gaps() {
     let (vm, prompt) = (name("e0"), [1, 2, 3, 4].map(BlockHash));
@@ -377,7 +384,8 @@
     assert_eq!(found(&index), (4, 1.0));
 }
 
-/// An endpoint does less than its setting says, and says that requests wait there. Less is sent to it, and more again later.
+/// An endpoint that runs fewer requests than configured reports a queue. Its limit is reduced, and raised again as it
+/// answers.
 #[test]
 fn endpoint_limit_follows_load_reports() {
     let mut now = start();
@@ -401,8 +409,8 @@
     assert!(limit.limit() > reduced + 4 && limit.limit() <= 32);
 }
 
-/// One request crashes whatever runs it, beside others that do nothing wrong. It is refused after two endpoints, and the
-/// others, which run again apart from each other, complete and are cleared.
+/// A poison request runs beside harmless ones. It is refused after crashing two endpoints; the others are rerun in
+/// isolation, complete, and are cleared.
 #[test]
 fn quarantine_isolates_the_poison_request() {
     let now = start();
@@ -431,7 +439,7 @@
     assert_eq!(quarantine.isolation(later), Isolation::None);
 }
 
-/// A rack dies, and requests sent from its first endpoint to its second die twice. They are not refused for that.
+/// A rack fails, and a request that is rerun on another endpoint of it is lost twice. It must not be refused for that.
 #[test]
 fn quarantine_ignores_correlated_crashes() {
     let now = start();
--- a/tests/decisions/engine.rs
+++ b/tests/decisions/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine, as far as decisions can see one: slots, a queue, a prefix cache, faults.
+//! Simulated model engine with batch slots, a queue, a prefix cache and faults.
 
 use std::collections::VecDeque;
 
@@ -6,19 +6,19 @@
 use jasmineridge::BlockHash;
 use jasmineridge::CacheEvent;
 
-/// Slots of its batch. The routers' setting says twice as many, so that they must find out.
+/// Slots of an engine's batch. Routers are configured with twice as many and have to discover the real limit.
 pub(crate) const SLOTS: usize = 16;
 
-/// Seconds to start a request, besides its prefill.
+/// Time to start a request, excluding prefill.
 const START_SECS: f64 = 0.05;
 
-/// Seconds to compute one block of a prompt: 16 tokens at 10,000 a second.
+/// Prefill time of one block: 16 tokens at 10,000 tokens per second.
 const BLOCK_SECS: f64 = 0.0016;
 
-/// Seconds for each token.
+/// Time to generate one token.
 const TOKEN_SECS: f64 = 0.02;
 
-/// Blocks that its cache holds.
+/// Capacity of the prefix cache.
 const CACHE_BLOCKS: usize = 6000;
 
 #[derive(Debug)]
@@ -49,7 +49,7 @@
         self.cache.get(&session).map_or(0, |b| b.len().min(prompt))
     }
 
-    /// Returns the seconds to the first token and from there to the end, and caches the prompt.
+    /// Caches the prompt. Returns the seconds to the first token, and from the first token to the end.
     pub(crate) fn start(&mut self, session: u64, prompt: &[BlockHash], tokens: u32) -> (f64, f64) {
         let uncached = prompt.len() - self.cached(session, prompt.len());
         self.store(session, prompt);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes what changed in the cache since the last time.
+    /// Returns the changes of the cache since the previous call.
     pub(crate) fn take_event(&mut self) -> CacheEvent {
         let next = CacheEvent {
             sequence: self.event.sequence + 1,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns the time that a request takes on an idle engine with nothing cached.
+/// Returns the time that a request takes on an idle engine with an empty cache.
 pub(crate) fn nominal_secs(blocks: usize, tokens: u32) -> f64 {
     START_SECS + blocks as f64 * BLOCK_SECS + f64::from(tokens) * TOKEN_SECS
 }
--- a/tests/decisions/herd.rs
+++ b/tests/decisions/herd.rs
@@ -1,4 +1,4 @@
-//! Callers that choose their router by advice, when one dies and another leaves.
+//! Callers that choose a router by advice, while one router crashes and another one leaves.
 
 use jasmineridge::Peer;
 use jasmineridge::advise;
@@ -17,8 +17,8 @@
     valid_until: f64,
 }
 
-/// What became of the callers: the most that one router had after a death, of an equal share; the most questions in a
-/// second; and how long a leaving router still had callers.
+/// Results of a simulation: the largest number of callers on one router after the crash, relative to an equal share;
+/// the most requests for advice in one second; and how long the leaving router still had callers.
 #[derive(Debug)]
 struct Measured {
     max_share: f64,
@@ -43,7 +43,8 @@
     callers.iter().filter(|c| c.router == router).count()
 }
 
-/// Asks for advice; the plain answer is the first router, and all others in order, for a minute.
+/// Requests advice for a caller. The baseline advice is the first router with all others as alternates, in order, valid
+/// for a minute.
 fn request_advice(
     caller: &mut Caller,
     now: f64,
@@ -58,7 +59,7 @@
             .filter(|p| !p.leaving)
             .map(|p| index(&p.address))
             .collect();
-        // Its generous side: callers start evenly spread, and stay where they are while they can.
+        // Simplified in favor of the baseline: callers start evenly spread, and stay on their router while they can.
         if let Some(at) = order.iter().position(|r| *r >= caller.router) {
             order.rotate_left(at);
         }
@@ -91,13 +92,13 @@
     for now in 0..300 {
         let dead = (now >= 100).then_some(0);
         let leaving = (now >= 200).then_some(1);
-        // The VM list and the loads are known two seconds late.
+        // Advice follows the VM list and the loads with a delay of two seconds.
         if now % 2 == 0 {
             known = peers(&callers, (now >= 102).then_some(0), leaving);
         }
         let mut queries = 0;
         for caller in &mut callers {
-            // Each calls every other second on average.
+            // Each caller sends a request every other second on average.
             if rng.random_range(0..2) > 0 {
                 continue;
             }
@@ -126,15 +127,16 @@
     measured
 }
 
-/// A router dies and its callers go to their alternates; later another leaves. If all of them have the same next one, that
-/// one falls over in its turn.
+/// A router crashes and its callers switch to their alternates; later another router leaves. Guards against advice that
+/// names the same alternate to all callers, which would overload that router next.
 #[test]
 fn callers_spread_after_a_router_crash() {
     let library = simulate(false);
     let baseline = simulate(true);
     println!("herd: library {library:?}\nherd: baseline {baseline:?}");
     assert!(library.max_share < 1.2 && baseline.max_share > 1.5);
-    // An answer is kept for 45 s at most, is 2 s old, and is only missed at the next call, up to some seconds later.
+    // Advice is valid for 45 s at most and based on data 2 s old. A caller notices the expiry at its next request, up
+    // to some seconds later.
     assert!(library.drain_secs <= 55.0 && library.drain_secs <= baseline.drain_secs);
     assert!(library.peak_queries < baseline.peak_queries);
 }
--- a/tests/decisions/owners.rs
+++ b/tests/decisions/owners.rs
@@ -1,4 +1,4 @@
-//! Who keeps budgets, judged by how many keep them, where, and what moves when a router goes.
+//! Selection of the routers that keep budgets: their number and placement, and what moves when a router is removed.
 
 use jasmineridge::Candidate;
 use jasmineridge::Capacity;
@@ -10,7 +10,7 @@
 
 const TEAMS: usize = 40;
 
-/// Returns a fleet in five failure domains, of which each eighth VM is large.
+/// Returns a fleet in five failure domains, in which every eighth VM is large.
 fn fleet(count: usize) -> Vec<Candidate> {
     let routers = (0..count).map(|n| Candidate {
         vm: name(&format!("router-{n}")),
@@ -37,9 +37,9 @@
     owners.for_team(&team(index)).into_iter().cloned().collect()
 }
 
-/// Two hundred routers that each draw what one request needs write eight hundred times a second to a partition that takes a
-/// hundred and fifty, and callers wait. Here sixteen routers write, the large ones first, and a team's three owners stand in
-/// three failure domains, so that none of these takes its budget along.
+/// If two hundred routers each draw the tokens of single requests, they attempt eight hundred writes per second to a
+/// partition that accepts a hundred and fifty, and callers wait. With owners, at most sixteen routers write, preferably
+/// large ones, and a team's three owners are in three failure domains, so that its budget survives the loss of one.
 #[test]
 fn large_fleet_has_few_owners() {
     let routers = fleet(200);
@@ -67,8 +67,8 @@
     assert!(large * 2 > all.len(), "{large} large of {}", all.len());
 }
 
-/// Routers hear of a change in the list at different moments. As long as one is behind it asks owners of before, so that
-/// few may move; and in which order the list names the routers must not matter.
+/// Routers learn of a change in the VM list at different times, and one that is behind still asks the previous owners.
+/// So a change must move few teams, and the order of the list must not matter.
 #[test]
 fn removing_a_router_moves_few_teams() {
     let all = fleet(200);
@@ -92,7 +92,8 @@
     assert!(share < 0.05, "{share:.3}");
 }
 
-/// In a small fleet each router keeps what its callers need: a cut between two routers then stops nobody.
+/// In a small fleet each router keeps the budgets that its callers need, so that a network failure between two routers
+/// affects no caller.
 #[test]
 fn all_routers_of_a_small_fleet_are_owners() {
     let owners = Owners::select(fleet(16));
--- a/tests/decisions/poison.rs
+++ b/tests/decisions/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each endpoint that runs it, among others that do nothing wrong.
+//! Simulates a poison request, which crashes each endpoint that runs it, among harmless requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,14 +22,19 @@
 const ROUTERS: usize = 3;
 const ENDPOINTS: usize = 12;
 
-/// Steps of a tenth of a second: what an answer takes, until a poisoned endpoint dies, until a dead one is back, and until
-/// a record is known everywhere.
+/// Duration of an answer. A step is a tenth of a second.
 const ANSWER_STEPS: u32 = 20;
+
+/// Time from the start of the poison request to the endpoint's crash.
 const CRASH_STEPS: u32 = 5;
+
+/// Time from a crash until the endpoint is up again.
 const RESTART_STEPS: u32 = 50;
+
+/// Time until all routers have read a ledger record.
 const RECORD_STEPS: u32 = 2;
 
-/// How often the poison's caller sends it.
+/// How often the poison request is sent by its caller.
 const POISON_TRIES: usize = 10;
 
 struct Run {
@@ -55,7 +60,8 @@
     runs: Vec<Run>,
     queues: Vec<VecDeque<Fingerprint>>,
     routers: Vec<Quarantine>,
-    /// The ledger: which endpoints died of what, and when each record is known.
+    /// Suspects recorded in the ledger but not read by the routers yet: step at which they read it, request and crashed
+    /// endpoint.
     records: Vec<(u32, Fingerprint, usize)>,
     ledger: IndexMap<Fingerprint, IndexSet<usize>>,
     totals: Totals,
@@ -99,7 +105,7 @@
             .filter(|e| assigned(e) && !avoided.contains(&self.endpoint_vms[*e]))
             .collect();
         let own: Vec<_> = up.iter().copied().filter(assigned).collect();
-        // A suspect rather waits for an endpoint of its own router's, if there is any.
+        // If the router has endpoints assigned for suspects, a suspect waits for one of them.
         let has_own = (0..ENDPOINTS).any(|e| {
             suspect_router(&self.router_vms, &self.endpoint_vms[e]) == self.router_vms.get(router)
         });
@@ -150,7 +156,7 @@
             }
         }
         for run in self.runs.extract_if(.., |r| r.endpoint == endpoint) {
-            // What was lost runs again; the poison's caller sends it again itself.
+            // Lost requests are rerun, except for the poison request, which its caller sends again.
             if run.request != POISON {
                 self.queues[run.router].push_back(run.request);
             }
@@ -212,7 +218,7 @@
                 next += 1;
             }
         }
-        // The caller has its failure and goes to the next router.
+        // The poison request's caller retries at the next router after each failure.
         if sim.step % 10 == 9 && sim.step > 30 && tries < POISON_TRIES {
             sim.queues[tries % ROUTERS].push_back(POISON);
             tries += 1;
@@ -222,8 +228,8 @@
     sim.totals
 }
 
-/// One request crashes each endpoint that runs it, and its caller sends it ten times, each time to another router. What
-/// ran beside it must be answered, and the request refused before it has cost more than three endpoints.
+/// A poison request is sent ten times, each time to the next router. It should be refused before it has crashed more
+/// than three endpoints, and the requests that ran beside it should be answered.
 #[test]
 fn poison_costs_three_endpoints() {
     let all_totals = |quarantine| (0..50).map(move |seed| simulate(seed, quarantine));
--- a/tests/decisions/queue.rs
+++ b/tests/decisions/queue.rs
@@ -1,4 +1,4 @@
-//! The queue by itself.
+//! Tests of the fair queue.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -24,7 +24,8 @@
     }
 }
 
-/// One account sends a hundred requests, then another sends two. The second waits for two turns, not for a hundred.
+/// One account queues a hundred requests, then another queues two. The second account waits for two turns, not for a
+/// hundred.
 #[test]
 fn queue_is_fair_to_light_accounts() {
     let now = start();
@@ -47,13 +48,14 @@
         }
         let first: Vec<_> = (0..5).filter_map(|_| queue.pop(now)).collect();
         let served = first.iter().filter(|w| **w == "light").count();
-        // One account gets no more by naming two teams than by naming one.
+        // An account that sends for two teams gets no larger share than with one.
         let expected = if hot.1 == light.1 { 0..=2 } else { 2..=2 };
         assert!(expected.contains(&served), "{hot:?} {light:?}: {first:?}");
     }
 }
 
-/// Requests wait past their deadlines, or fill the queue. Each gets its final answer, and none is served after it.
+/// Requests reach their deadlines in the queue, or exceed the account's part of it. Each is returned once as expired or
+/// refused, and none is served afterwards.
 #[test]
 fn queue_expires_requests_at_their_deadlines() {
     let now = start();
@@ -72,7 +74,8 @@
     assert_eq!(queue.pop(now + ms(20)), None);
 }
 
-/// Four accounts fill the queue and a fifth comes. The newest request of a larger one makes room for it.
+/// Four accounts fill the queue and a fifth sends a request. The newest request of an account with more waiting
+/// is evicted to make room.
 #[test]
 fn full_queue_evicts_from_the_largest_account() {
     let now = start();
@@ -87,7 +90,8 @@
     assert_eq!(queue.len(), 8);
 }
 
-/// The queue drains slowly. Whoever would wait past the deadline is told so at once, with a time that the drain grounds.
+/// The queue drains slowly. A request that would wait past its deadline is refused at once, with a retry time that is
+/// derived from the drain rate.
 #[test]
 fn queue_refuses_requests_that_would_expire() {
     let now = start();
@@ -113,7 +117,8 @@
         .unwrap();
 }
 
-/// Any order of requests, turns and hang-ups. Each request leaves the queue once, and it remembers no team that left.
+/// Applies random sequences of pushes, pops and cancellations. Each request leaves the queue once, and an empty queue
+/// keeps no state of teams or accounts.
 #[test]
 fn each_request_leaves_the_queue_once() {
     fn leaves_once(steps: Vec<(u8, u8, u8)>) -> bool {
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -1,4 +1,4 @@
-//! A router made of the decisions, and the plain one that it is compared with.
+//! Simulated routers: one built from the library's decisions, and a simple baseline.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -30,17 +30,18 @@
 use crate::sim::Job;
 use crate::sim::Setup;
 
-/// What both kinds of router hold at most in their queues.
+/// Maximum queue length of either router.
 const QUEUE_LIMIT: usize = 1000;
 
-/// Which router is tried.
+/// Router under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RouterKind {
-    /// The decisions of the library.
+    /// Uses the library's decisions.
     Library,
-    /// First in, first out; round robin over endpoints with room by its own count and the last report; three tries
-    /// at once; out at the first failed check and in at the first that passes. Its generous side: it is told the true
-    /// slots of each engine, and drops requests whose callers hung up.
+    /// FIFO queue; round robin over endpoints that have a free slot by its own count and by the last load report;
+    /// three attempts without backoff; ejects an endpoint at the first failed check and readmits it at the first
+    /// passed one. Simplified in its favor: it knows the actual number of slots of each engine, and drops requests
+    /// whose callers hung up.
     Baseline,
 }
 
@@ -69,7 +70,7 @@
     next_engine: usize,
 }
 
-/// Returns the failure domain of an engine or a router: three of them, in turn.
+/// Returns the failure domain of an engine or a router, assigned round robin over three domains.
 pub(crate) fn domain(index: usize) -> DomainId {
     name(&format!("d{}", index % 3))
 }
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes a request, or says when to come back.
+    /// Queues a request. If it is refused, returns the delay before the caller may retry.
     pub(crate) fn admit(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         match self {
             Self::Library(library) => library.admit(now, id, job),
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Returns the next request to dispatch and its engine.
+    /// Returns the next dispatch, if a request waits and an engine has a free slot.
     pub(crate) fn next_dispatch(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
         match self {
             Self::Library(library) => library.next_dispatch(now, jobs),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Returns those that the router gives up on.
+    /// Returns the queued requests that expired or were evicted.
     pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<usize> {
         match self {
             Self::Library(library) => library.queue.take_expired(now),
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Ends a request; it tells whether the router lets it have another try, and when.
+    /// Records the end of a dispatch. Returns the delay before the retry, or `None` if the router does not retry.
     pub(crate) fn end(
         &mut self,
         now: Instant,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Ends a request's stay at the router.
+    /// Releases the request from its account's concurrency limit.
     pub(crate) fn release_account(&mut self, job: &Job) {
         if let Self::Library(library) = self
             && let Some(limit) = library.limits.get_mut(&job.account)
@@ -186,25 +187,25 @@
     }
 }
 
-/// A dispatch.
+/// A request sent to an engine.
 pub(crate) struct Dispatch {
     pub(crate) id: usize,
     pub(crate) engine: usize,
     pub(crate) usage: Usage,
-    /// How many blocks the router thinks cached there.
+    /// Number of prompt blocks that the router expects to be cached on the engine.
     pub(crate) expected_blocks: usize,
 }
 
 /// How a dispatch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// With an answer, whose first token came after this time and so many cached blocks.
+    /// Answered. Holds the time to the first token and the number of cached blocks.
     Completed(Duration, usize),
-    /// Before it ran: the connection was refused.
+    /// Connection refused, so that the request did not run.
     Refused,
-    /// By the endpoint's fault, while it ran.
+    /// The endpoint failed while the request ran.
     Failed,
-    /// By the caller.
+    /// Cancelled by the caller.
     Cancelled,
 }
 
@@ -304,7 +305,8 @@
             End::Cancelled => Sample::Other,
         };
         self.chooser.end(now, &vm, sample);
-        // What did not run adds no work when it is tried again, and the pause of the endpoint bounds how often.
+        // Retrying a request that did not run adds no work, and the ejection of the endpoint limits how often that
+        // happens, so such a retry is not charged to the budget.
         let retry = end == End::Refused || end == End::Failed && self.retry_budget.try_retry(now);
         retry.then(|| {
             self.retry_budget
