--- a/tests/decisions/poison.rs
+++ b/tests/decisions/poison.rs
@@ -56,6 +56,7 @@
     start_time: Instant,
     endpoint_vms: Vec<VmId>,
     router_vms: Vec<VmId>,
+    /// Step from which each endpoint is up.
     up_from: [u32; ENDPOINTS],
     runs: Vec<Run>,
     queues: Vec<VecDeque<Fingerprint>>,
