--- a/tests/decisions/engine.rs
+++ b/tests/decisions/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine, as far as decisions can see one: slots, a queue, a prefix cache, faults.
+//! Simulated model engine with batch slots, a queue, a prefix cache and faults.
 
 use std::collections::VecDeque;
 
@@ -6,28 +6,28 @@
 use jasmineridge::BlockHash;
 use jasmineridge::CacheEvent;
 
-/// Slots of its batch. The routers' setting says twice as many, so that they must find out.
+/// Slots of an engine's batch. Routers are configured with twice as many and have to discover the real limit.
 pub(crate) const SLOTS: usize = 16;
 
-/// Seconds to start a request, besides its prefill.
-const START: f64 = 0.05;
+/// Time to start a request, excluding prefill.
+const START_SECS: f64 = 0.05;
 
-/// Seconds to compute one block of a prompt: 16 tokens at 10,000 a second.
-const BLOCK: f64 = 0.0016;
+/// Prefill time of one block: 16 tokens at 10,000 tokens per second.
+const BLOCK_SECS: f64 = 0.0016;
 
-/// Seconds for each token.
-const TOKEN: f64 = 0.02;
+/// Time to generate one token.
+const TOKEN_SECS: f64 = 0.02;
 
-/// Blocks that its cache holds.
-const CACHE: usize = 6000;
+/// Capacity of the prefix cache.
+const CACHE_BLOCKS: usize = 6000;
 
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) running: Vec<usize>,
     pub(crate) waiting: VecDeque<usize>,
-    pub(crate) slow: f64,
+    pub(crate) slowdown: f64,
     pub(crate) down: bool,
-    pub(crate) flap: bool,
+    pub(crate) flapping: bool,
     cache: IndexMap<u64, Vec<BlockHash>>,
     event: CacheEvent,
 }
@@ -37,9 +37,9 @@
         Self {
             running: Vec::new(),
             waiting: VecDeque::new(),
-            slow: 1.0,
+            slowdown: 1.0,
             down: false,
-            flap: false,
+            flapping: false,
             cache: IndexMap::new(),
             event: CacheEvent::default(),
         }
@@ -49,12 +49,15 @@
         self.cache.get(&session).map_or(0, |b| b.len().min(prompt))
     }
 
-    /// Returns the seconds to the first token and from there to the end, and caches the prompt.
-    pub(crate) fn run(&mut self, session: u64, prompt: &[BlockHash], tokens: u32) -> (f64, f64) {
-        let missing = prompt.len() - self.cached(session, prompt.len());
+    /// Caches the prompt. Returns the seconds to the first token, and from the first token to the end.
+    pub(crate) fn start(&mut self, session: u64, prompt: &[BlockHash], tokens: u32) -> (f64, f64) {
+        let uncached = prompt.len() - self.cached(session, prompt.len());
         self.store(session, prompt);
-        let first = START + missing as f64 * BLOCK;
-        (first * self.slow, f64::from(tokens) * TOKEN * self.slow)
+        let first = START_SECS + uncached as f64 * BLOCK_SECS;
+        (
+            first * self.slowdown,
+            f64::from(tokens) * TOKEN_SECS * self.slowdown,
+        )
     }
 
     fn store(&mut self, session: u64, prompt: &[BlockHash]) {
@@ -64,14 +67,14 @@
         self.cache.shift_remove(&session);
         self.cache.insert(session, prompt.to_vec());
         self.event.stored.extend(prompt);
-        while self.cache.values().map(Vec::len).sum::<usize>() > CACHE {
+        while self.cache.values().map(Vec::len).sum::<usize>() > CACHE_BLOCKS {
             let (_, old) = self.cache.shift_remove_index(0).expect("it is too large");
             self.event.removed.extend(old);
         }
     }
 
-    /// Takes what changed in the cache since the last time.
-    pub(crate) fn event(&mut self) -> CacheEvent {
+    /// Returns the changes of the cache since the previous call.
+    pub(crate) fn take_event(&mut self) -> CacheEvent {
         let next = CacheEvent {
             sequence: self.event.sequence + 1,
             ..CacheEvent::default()
@@ -82,7 +85,7 @@
     }
 }
 
-/// Returns the time that a request takes on an idle engine with nothing cached.
-pub(crate) fn nominal(blocks: usize, tokens: u32) -> f64 {
-    START + blocks as f64 * BLOCK + f64::from(tokens) * TOKEN
+/// Returns the time that a request takes on an idle engine with an empty cache.
+pub(crate) fn nominal_secs(blocks: usize, tokens: u32) -> f64 {
+    START_SECS + blocks as f64 * BLOCK_SECS + f64::from(tokens) * TOKEN_SECS
 }
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -1,4 +1,4 @@
-//! A router made of the decisions, and the plain one that it is compared with.
+//! Simulated routers: one built from the library's decisions, and a simple baseline.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -30,93 +30,98 @@
 use crate::sim::Job;
 use crate::sim::Setup;
 
-/// What both kinds of router hold at most in their queues.
-const QUEUE: usize = 1000;
+/// Maximum queue length of either router.
+const QUEUE_LIMIT: usize = 1000;
 
-/// Which router is tried.
+/// Router under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// The decisions of the library.
-    Ours,
-    /// First in, first out; round robin over endpoints with room by its own count and the last report; three tries
-    /// at once; out at the first failed check and in at the first that passes. Its generous side: it is told the true
-    /// slots of each engine, and drops requests whose callers hung up.
-    Plain,
+pub(crate) enum RouterKind {
+    /// Uses the library's decisions.
+    Library,
+    /// FIFO queue; round robin over endpoints that have a free slot by its own count and by the last load report;
+    /// three attempts without backoff; ejects an endpoint at the first failed check and readmits it at the first
+    /// passed one. Simplified in its favor: it knows the actual number of slots of each engine, and drops requests
+    /// whose callers hung up.
+    Baseline,
 }
 
 pub(crate) enum Router {
-    Ours(Box<Ours>),
-    Plain(Plain),
+    Library(Box<LibraryRouter>),
+    Baseline(BaselineRouter),
 }
 
-pub(crate) struct Ours {
+pub(crate) struct LibraryRouter {
     limits: IndexMap<AccountId, AccountLimit>,
     queue: FairQueue<usize>,
     chooser: Chooser,
     index: PrefixIndex,
     ejector: Ejector,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     vms: Vec<VmId>,
     domain: DomainId,
     rng: ChaCha8Rng,
 }
 
-pub(crate) struct Plain {
+pub(crate) struct BaselineRouter {
     queue: VecDeque<(usize, u32)>,
-    own: Vec<usize>,
-    reported: Vec<usize>,
-    out: Vec<bool>,
-    next: usize,
+    in_flight: Vec<usize>,
+    reported_load: Vec<usize>,
+    ejected: Vec<bool>,
+    next_engine: usize,
 }
 
-/// Returns the failure domain of an engine or a router: three of them, in turn.
-pub(crate) fn domain(at: usize) -> DomainId {
-    name(&format!("d{}", at % 3))
+/// Returns the failure domain of an engine or a router, assigned round robin over three domains.
+pub(crate) fn domain(index: usize) -> DomainId {
+    name(&format!("d{}", index % 3))
 }
 
 impl Router {
-    pub(crate) fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+    pub(crate) fn new(index: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
         match setup.kind {
-            Kind::Ours => Self::Ours(Box::new(Ours::new(at, now, setup, rng))),
-            Kind::Plain => Self::Plain(Plain {
+            RouterKind::Library => {
+                Self::Library(Box::new(LibraryRouter::new(index, now, setup, rng)))
+            }
+            RouterKind::Baseline => Self::Baseline(BaselineRouter {
                 queue: VecDeque::new(),
-                own: vec![0; setup.engines],
-                reported: vec![0; setup.engines],
-                out: vec![false; setup.engines],
-                next: at,
+                in_flight: vec![0; setup.engines],
+                reported_load: vec![0; setup.engines],
+                ejected: vec![false; setup.engines],
+                next_engine: index,
             }),
         }
     }
 
-    /// Takes a request, or says when to come back.
-    pub(crate) fn arrive(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
+    /// Queues a request. If it is refused, returns the delay before the caller may retry.
+    pub(crate) fn admit(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         match self {
-            Self::Ours(ours) => ours.arrive(now, id, job),
-            Self::Plain(plain) if plain.queue.len() >= QUEUE => Err(Duration::from_secs(1)),
-            Self::Plain(plain) => {
-                plain.queue.push_back((id, job.tries));
+            Self::Library(library) => library.admit(now, id, job),
+            Self::Baseline(baseline) if baseline.queue.len() >= QUEUE_LIMIT => {
+                Err(Duration::from_secs(1))
+            }
+            Self::Baseline(baseline) => {
+                baseline.queue.push_back((id, job.tries));
                 Ok(())
             }
         }
     }
 
-    /// Returns the next request to dispatch and its engine.
-    pub(crate) fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Sent> {
+    /// Returns the next dispatch, if a request waits and an engine has a free slot.
+    pub(crate) fn next_dispatch(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
         match self {
-            Self::Ours(ours) => ours.next(now, jobs),
-            Self::Plain(plain) => plain.next(jobs),
+            Self::Library(library) => library.next_dispatch(now, jobs),
+            Self::Baseline(baseline) => baseline.next_dispatch(jobs),
         }
     }
 
-    /// Returns those that the router gives up on.
-    pub(crate) fn given_up(&mut self, now: Instant) -> Vec<usize> {
+    /// Returns the queued requests that expired or were evicted.
+    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<usize> {
         match self {
-            Self::Ours(ours) => ours.queue.take_expired(now),
-            Self::Plain(_) => Vec::new(),
+            Self::Library(library) => library.queue.take_expired(now),
+            Self::Baseline(_) => Vec::new(),
         }
     }
 
-    /// Ends a request; it tells whether the router lets it have another try, and when.
+    /// Records the end of a dispatch. Returns the delay before the retry, or `None` if the router does not retry.
     pub(crate) fn end(
         &mut self,
         now: Instant,
@@ -125,82 +130,88 @@
         end: End,
     ) -> Option<Duration> {
         match self {
-            Self::Ours(ours) => ours.end(now, engine, job, end),
-            Self::Plain(plain) => {
-                plain.own[engine] -= 1;
-                (end != End::Cancelled && !matches!(end, End::Whole(..)) && job.excluded.len() < 3)
+            Self::Library(library) => library.end(now, engine, job, end),
+            Self::Baseline(baseline) => {
+                baseline.in_flight[engine] -= 1;
+                (end != End::Cancelled
+                    && !matches!(end, End::Completed(..))
+                    && job.excluded.len() < 3)
                     .then_some(Duration::ZERO)
             }
         }
     }
 
-    /// Ends a request's stay at the router.
-    pub(crate) fn leave(&mut self, job: &Job) {
-        if let Self::Ours(ours) = self
-            && let Some(limit) = ours.limits.get_mut(&job.account)
+    /// Releases the request from its account's concurrency limit.
+    pub(crate) fn release_account(&mut self, job: &Job) {
+        if let Self::Library(library) = self
+            && let Some(limit) = library.limits.get_mut(&job.account)
         {
             limit.release();
         }
     }
 
-    pub(crate) fn first_token(&mut self, now: Instant, engine: usize, time: Duration) {
-        if let Self::Ours(ours) = self {
-            let vm = ours.vms[engine].clone();
-            ours.ejector
-                .record(now, &vm, Observation::Answered(time), &mut ours.rng);
+    pub(crate) fn record_first_token(&mut self, now: Instant, engine: usize, time: Duration) {
+        if let Self::Library(library) = self {
+            let vm = library.vms[engine].clone();
+            library
+                .ejector
+                .record(now, &vm, Observation::Answered(time), &mut library.rng);
         }
     }
 
-    pub(crate) fn report(&mut self, now: Instant, engine: usize, load: Load) {
+    pub(crate) fn report_load(&mut self, now: Instant, engine: usize, load: Load) {
         match self {
-            Self::Ours(ours) => ours.chooser.report(now, &ours.vms[engine], load),
-            Self::Plain(plain) => plain.reported[engine] = (load.running + load.waiting) as usize,
+            Self::Library(library) => library.chooser.report(now, &library.vms[engine], load),
+            Self::Baseline(baseline) => {
+                baseline.reported_load[engine] = (load.running + load.waiting) as usize
+            }
         }
     }
 
-    pub(crate) fn cache(&mut self, engine: usize, event: &CacheEvent) {
-        if let Self::Ours(ours) = self {
-            ours.index.apply_event(&ours.vms[engine], event);
+    pub(crate) fn apply_cache_event(&mut self, engine: usize, event: &CacheEvent) {
+        if let Self::Library(library) = self {
+            library.index.apply_event(&library.vms[engine], event);
         }
     }
 
-    pub(crate) fn check(&mut self, now: Instant, engine: usize, passed: bool) {
+    pub(crate) fn record_check(&mut self, now: Instant, engine: usize, passed: bool) {
         match self {
-            Self::Ours(ours) => {
-                let vm = ours.vms[engine].clone();
-                ours.ejector
-                    .record(now, &vm, Observation::Checked(passed), &mut ours.rng);
+            Self::Library(library) => {
+                let vm = library.vms[engine].clone();
+                library
+                    .ejector
+                    .record(now, &vm, Observation::Checked(passed), &mut library.rng);
             }
-            Self::Plain(plain) => plain.out[engine] = !passed,
+            Self::Baseline(baseline) => baseline.ejected[engine] = !passed,
         }
     }
 }
 
-/// A dispatch.
-pub(crate) struct Sent {
+/// A request sent to an engine.
+pub(crate) struct Dispatch {
     pub(crate) id: usize,
     pub(crate) engine: usize,
     pub(crate) usage: Usage,
-    /// How many blocks the router thinks cached there.
-    pub(crate) thought: usize,
+    /// Number of prompt blocks that the router expects to be cached on the engine.
+    pub(crate) expected_blocks: usize,
 }
 
 /// How a dispatch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// With an answer, whose first token came after this time and so many cached blocks.
-    Whole(Duration, usize),
-    /// Before it ran: the connection was refused.
+    /// Answered. Holds the time to the first token and the number of cached blocks.
+    Completed(Duration, usize),
+    /// Connection refused, so that the request did not run.
     Refused,
-    /// By the endpoint's fault, while it ran.
+    /// The endpoint failed while the request ran.
     Failed,
-    /// By the caller.
+    /// Cancelled by the caller.
     Cancelled,
 }
 
-impl Ours {
-    fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
-        let router: VmId = name(&format!("r{at}"));
+impl LibraryRouter {
+    fn new(index: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+        let router: VmId = name(&format!("r{index}"));
         let mut chooser = Chooser::new(&router);
         let mut ejector = Ejector::new(setup.caps);
         let vms: Vec<VmId> = (0..setup.engines).map(|e| name(&format!("e{e}"))).collect();
@@ -214,25 +225,25 @@
             .map(|g| (name(g.account), AccountLimit::new(now, &g.limits)))
             .collect();
         let mut rng = rng;
-        let seeded = rand::SeedableRng::seed_from_u64(rng.random_range(0..u64::MAX));
+        let queue_rng = rand::SeedableRng::seed_from_u64(rng.random_range(0..u64::MAX));
         Self {
             limits,
-            queue: FairQueue::new(QUEUE, seeded),
+            queue: FairQueue::new(QUEUE_LIMIT, queue_rng),
             chooser,
             index: PrefixIndex::new(),
             ejector,
-            budget: RetryBudget::new(now),
+            retry_budget: RetryBudget::new(now),
             vms,
-            domain: domain(at),
+            domain: domain(index),
             rng,
         }
     }
 
-    fn arrive(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
+    fn admit(&mut self, now: Instant, id: usize, job: &Job) -> Result<(), Duration> {
         let limit = &mut self.limits[&job.account];
         if job.excluded.is_empty() {
             limit.try_acquire(now).map_err(|r| r.retry_after())?;
-            self.budget.record_request(now);
+            self.retry_budget.record_request(now);
         }
         let ticket = QueueTicket {
             team: job.team.clone(),
@@ -248,12 +259,12 @@
         })
     }
 
-    fn next(&mut self, now: Instant, jobs: &[Job]) -> Option<Sent> {
-        let mut chosen = None;
+    fn next_dispatch(&mut self, now: Instant, jobs: &[Job]) -> Option<Dispatch> {
+        let mut choice = None;
         let mut usage = Usage::Heavy;
         let id = self.queue.pop_where(now, |id, used| {
             usage = used;
-            let wish = Criteria {
+            let criteria = Criteria {
                 model: None,
                 prefix: &jobs[*id].prompt,
                 domain: &self.domain,
@@ -261,27 +272,27 @@
                 usage,
                 prompt: None,
             };
-            chosen = self
+            choice = self
                 .chooser
-                .choose(now, &wish, &self.index, &self.ejector, &mut self.rng);
-            chosen.is_some()
+                .choose(now, &criteria, &self.index, &self.ejector, &mut self.rng);
+            choice.is_some()
         })?;
-        let choice = chosen?;
+        let choice = choice?;
         let vm = choice.endpoint;
         self.chooser.start(now, &vm);
         self.index.record_cached(&vm, &jobs[id].prompt);
-        Some(Sent {
+        Some(Dispatch {
             id,
             engine: self.vms.iter().position(|v| *v == vm)?,
             usage,
-            thought: choice.cached,
+            expected_blocks: choice.cached,
         })
     }
 
     fn end(&mut self, now: Instant, engine: usize, job: &Job, end: End) -> Option<Duration> {
         let vm = self.vms[engine].clone();
         let sample = match end {
-            End::Whole(time, cached) => {
+            End::Completed(time, cached) => {
                 self.index
                     .record_served(&vm, &job.prompt, job.thought, cached);
                 Sample::Answered(time)
@@ -294,33 +305,36 @@
             End::Cancelled => Sample::Other,
         };
         self.chooser.end(now, &vm, sample);
-        // What did not run adds no work when it is tried again, and the pause of the endpoint bounds how often.
-        let retry = end == End::Refused || end == End::Failed && self.budget.try_retry(now);
+        // Retrying a request that did not run adds no work, and the ejection of the endpoint limits how often that
+        // happens, so such a retry is not charged to the budget.
+        let retry = end == End::Refused || end == End::Failed && self.retry_budget.try_retry(now);
         retry.then(|| {
-            self.budget
+            self.retry_budget
                 .backoff(job.excluded.len() as u32, &mut self.rng)
         })
     }
 }
 
-impl Plain {
-    fn next(&mut self, jobs: &[Job]) -> Option<Sent> {
-        let gone = |(id, tries): &(usize, u32)| jobs[*id].gone(*tries);
-        while self.queue.front().is_some_and(gone) {
+impl BaselineRouter {
+    fn next_dispatch(&mut self, jobs: &[Job]) -> Option<Dispatch> {
+        let abandoned = |(id, tries): &(usize, u32)| jobs[*id].gone(*tries);
+        while self.queue.front().is_some_and(abandoned) {
             self.queue.pop_front();
         }
-        let count = self.own.len();
+        let count = self.in_flight.len();
         let engine = (0..count)
-            .map(|at| (self.next + at) % count)
-            .find(|e| !self.out[*e] && self.own[*e].max(self.reported[*e]) < SLOTS)?;
+            .map(|offset| (self.next_engine + offset) % count)
+            .find(|e| {
+                !self.ejected[*e] && self.in_flight[*e].max(self.reported_load[*e]) < SLOTS
+            })?;
         let (id, _) = self.queue.pop_front()?;
-        self.next = engine + 1;
-        self.own[engine] += 1;
-        Some(Sent {
+        self.next_engine = engine + 1;
+        self.in_flight[engine] += 1;
+        Some(Dispatch {
             id,
             engine,
             usage: Usage::Heavy,
-            thought: 0,
+            expected_blocks: 0,
         })
     }
 }
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -21,12 +21,12 @@
 use crate::SEED;
 use crate::engine::Engine;
 use crate::engine::SLOTS;
-use crate::engine::nominal;
+use crate::engine::nominal_secs;
 use crate::name;
+use crate::router::Dispatch;
 use crate::router::End;
-use crate::router::Kind;
 use crate::router::Router;
-use crate::router::Sent;
+use crate::router::RouterKind;
 use crate::start;
 
 /// Requests of one kind.
@@ -79,7 +79,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
-    pub(crate) kind: Kind,
+    pub(crate) kind: RouterKind,
     pub(crate) caps: EjectionLimits,
     pub(crate) routers: usize,
     pub(crate) engines: usize,
@@ -91,7 +91,7 @@
 }
 
 impl Setup {
-    pub(crate) fn new(kind: Kind, groups: Vec<Group>) -> Self {
+    pub(crate) fn new(kind: RouterKind, groups: Vec<Group>) -> Self {
         Self {
             kind,
             caps: EjectionLimits::default(),
@@ -106,7 +106,7 @@
 
     /// Returns how many requests a second of `tokens` tokens the engines can run.
     pub(crate) fn capacity(&self, tokens: u32) -> f64 {
-        (self.engines * SLOTS) as f64 / nominal(0, tokens)
+        (self.engines * SLOTS) as f64 / nominal_secs(0, tokens)
     }
 }
 
@@ -289,7 +289,9 @@
             Event::Told(engine, load) => self.told(engine, load),
             Event::Cached(engine, event) => {
                 let event = &event;
-                self.routers.iter_mut().for_each(|r| r.cache(engine, event));
+                self.routers
+                    .iter_mut()
+                    .for_each(|r| r.apply_cache_event(engine, event));
             }
             Event::Fault(at, on) => self.fault(at, on),
             Event::Check => self.check(),
@@ -377,7 +379,7 @@
             self.after(patience + 1e-5, Event::HangUp(id, self.jobs[id].tries));
         }
         let (now, router) = (self.at(), self.jobs[id].router);
-        match self.routers[router].arrive(now, id, &self.jobs[id]) {
+        match self.routers[router].admit(now, id, &self.jobs[id]) {
             Ok(()) => self.pump(router),
             Err(after) => self.refused(id, after),
         }
@@ -432,20 +434,20 @@
     /// Dispatches what a router can, and answers those it gives up on.
     fn pump(&mut self, router: usize) {
         let now = self.at();
-        for id in self.routers[router].given_up(now) {
+        for id in self.routers[router].take_expired(now) {
             let job = &self.jobs[id];
-            self.routers[router].leave(job);
+            self.routers[router].release_account(job);
             if !job.over && job.first.is_none() && now < job.deadline {
                 self.refused(id, Duration::from_secs(2));
             }
         }
-        while let Some(sent) = self.routers[router].next(now, &self.jobs) {
+        while let Some(sent) = self.routers[router].next_dispatch(now, &self.jobs) {
             self.dispatch(sent);
         }
     }
 
-    fn dispatch(&mut self, sent: Sent) {
-        let Sent {
+    fn dispatch(&mut self, sent: Dispatch) {
+        let Dispatch {
             id, engine, usage, ..
         } = sent;
         let now = self.now;
@@ -453,7 +455,7 @@
         let job = &mut self.jobs[id];
         job.engine = Some(engine);
         job.sent = now;
-        job.thought = sent.thought;
+        job.thought = sent.expected_blocks;
         job.dispatch += 1;
         self.got.dispatches += 1;
         if self.engines[engine].down {
@@ -484,7 +486,7 @@
             let at = &mut self.engines[engine];
             job.cached = at.cached(job.session, job.prompt.len());
             job.begun = self.now;
-            let (first, rest) = at.run(job.session, &job.prompt, job.tokens);
+            let (first, rest) = at.start(job.session, &job.prompt, job.tokens);
             at.running.push(id);
             self.got.cached += job.cached;
             self.got.blocks += job.prompt.len();
@@ -503,7 +505,7 @@
         let time = Duration::from_secs_f64(self.now - job.sent);
         let (engine, router) = (job.engine.expect("it runs"), job.router);
         let now = self.at();
-        self.routers[router].first_token(now, engine, time);
+        self.routers[router].record_first_token(now, engine, time);
     }
 
     fn done(&mut self, id: usize, dispatch: u32) {
@@ -519,7 +521,7 @@
         let (begun, arrived) = (job.begun, job.arrived);
         self.release(
             id,
-            End::Whole(Duration::from_secs_f64(first - sent), cached),
+            End::Completed(Duration::from_secs_f64(first - sent), cached),
         );
         self.jobs[id].over = true;
         let got = &mut self.got.groups[self.jobs[id].group];
@@ -564,7 +566,7 @@
         let router = &mut self.routers[self.jobs[id].router];
         let again = router.end(now, engine, &self.jobs[id], end);
         if again.is_none() {
-            router.leave(&self.jobs[id]);
+            router.release_account(&self.jobs[id]);
         }
         again
     }
@@ -582,7 +584,7 @@
                 let load = (at.running.len(), at.waiting.len());
                 self.got.loads.push(load);
             }
-            let event = at.event();
+            let event = at.take_event();
             let lag = self.rng.random_range(0.5..1.5);
             self.after(lag, Event::Told(engine, load));
             // One event in twenty is lost.
@@ -598,7 +600,7 @@
     fn told(&mut self, engine: usize, load: Load) {
         let now = self.at();
         for router in 0..self.routers.len() {
-            self.routers[router].report(now, engine, load);
+            self.routers[router].report_load(now, engine, load);
             self.pump(router);
         }
     }
@@ -607,8 +609,8 @@
         let (engine, _, _, fault) = self.setup.faults[at];
         let hit = &mut self.engines[engine];
         match fault {
-            Fault::Slow(factor) => hit.slow = if on { factor } else { 1.0 },
-            Fault::Flap => hit.flap = on,
+            Fault::Slow(factor) => hit.slowdown = if on { factor } else { 1.0 },
+            Fault::Flap => hit.flapping = on,
             Fault::Down => hit.down = on,
         }
         if hit.down {
@@ -622,8 +624,8 @@
         for router in 0..self.routers.len() {
             for engine in 0..self.engines.len() {
                 let at = &self.engines[engine];
-                let fails = at.down || at.flap && self.rng.random_range(0..10) < 7;
-                self.routers[router].check(now, engine, !fails);
+                let fails = at.down || at.flapping && self.rng.random_range(0..10) < 7;
+                self.routers[router].record_check(now, engine, !fails);
             }
             self.pump(router);
         }
