--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -5,26 +5,26 @@
 use jasmineridge::EjectionLimits;
 
 use crate::router::Kind;
+use crate::sim::CallerStats;
 use crate::sim::Fault;
-use crate::sim::Got;
-use crate::sim::Group;
 use crate::sim::Outcome;
-use crate::sim::Setup;
+use crate::sim::Scenario;
+use crate::sim::Workload;
 use crate::sim::run;
 
 /// Runs a scenario with both routers and prints what callers received.
-fn both<F>(title: &str, setup: F) -> [Outcome; 2]
+fn both<F>(title: &str, scenario: F) -> [Outcome; 2]
 where
-    F: Fn(Kind) -> Setup,
+    F: Fn(Kind) -> Scenario,
 {
     println!(
         "{title}\n  router account       sent  good refused late failed wait p50   p95   p99 s  capacity used"
     );
     [Kind::Ours, Kind::Plain].map(|kind| {
-        let setup = setup(kind);
-        let outcome = run(setup.clone());
-        for (group, got) in setup.groups.iter().zip(&outcome.groups) {
-            print_row(kind, group, got, &setup);
+        let scenario = scenario(kind);
+        let outcome = run(scenario.clone());
+        for (group, got) in scenario.groups.iter().zip(&outcome.groups) {
+            print_row(kind, group, got, &scenario);
         }
         let (running, waiting) = load(&outcome);
         if outcome.blocks > 0 {
@@ -33,14 +33,14 @@
         }
         println!(
             "  {kind:?} in all {:.3}, Jain {:.3}; at an endpoint {running:.1} running, {waiting:.2} waiting",
-            used(&outcome, &setup),
+            used(&outcome, &scenario),
             jain(&outcome)
         );
         outcome
     })
 }
 
-fn print_row(kind: Kind, group: &Group, got: &Got, setup: &Setup) {
+fn print_row(kind: Kind, group: &Workload, got: &CallerStats, scenario: &Scenario) {
     let kind = format!("{kind:?}");
     println!(
         "  {kind:6} {:12} {:6} {:6} {:6} {:5} {:5} {:9.3} {:6.3} {:6.3} {:10.3}",
@@ -53,17 +53,17 @@
         got.wait(0.5),
         got.wait(0.95),
         got.wait(0.99),
-        got.work / slots(setup),
+        got.work / slots(scenario),
     );
 }
 
-fn slots(setup: &Setup) -> f64 {
-    (setup.engines * crate::engine::SLOTS) as f64 * (setup.span - setup.warm)
+fn slots(scenario: &Scenario) -> f64 {
+    (scenario.engines * crate::engine::SLOTS) as f64 * (scenario.span - scenario.warm)
 }
 
 /// Returns the share of all slots' time that went into answers that callers received in time.
-fn used(outcome: &Outcome, setup: &Setup) -> f64 {
-    outcome.groups.iter().map(|g| g.work).sum::<f64>() / slots(setup)
+fn used(outcome: &Outcome, scenario: &Scenario) -> f64 {
+    outcome.groups.iter().map(|g| g.work).sum::<f64>() / slots(scenario)
 }
 
 /// Returns the cached blocks found, of those that an oracle would have.
@@ -87,15 +87,15 @@
     sum * sum / (squares * parts.len() as f64)
 }
 
-fn teams(rates: &[f64]) -> Vec<Group> {
+fn teams(rates: &[f64]) -> Vec<Workload> {
     let names = [("a", "ax"), ("b", "bx"), ("c", "cx"), ("d", "dx")];
     let named = names.iter().zip(rates);
-    named.map(|((t, a), r)| Group::new(t, a, *r)).collect()
+    named.map(|((t, a), r)| Workload::new(t, a, *r)).collect()
 }
 
 /// Returns the seconds after `from` until callers that arrive wait for less than a second again, and go on to, nineteen in
 /// twenty of each five seconds.
-fn recovered(got: &Got, from: f64) -> f64 {
+fn recovered(got: &CallerStats, from: f64) -> f64 {
     let mut last = from;
     for bin in 0..40 {
         let begin = from + f64::from(bin) * 5.0;
@@ -117,10 +117,10 @@
 /// request waits until its caller hangs up; with them those that are served are served soon, and the others told at once.
 #[test]
 fn overload() {
-    let base = Setup::new(Kind::Ours, Vec::new());
+    let base = Scenario::new(Kind::Ours, Vec::new());
     let all = base.capacity(100) * 3.0;
-    let setup = |kind| Setup::new(kind, teams(&[all / 2.0, all / 6.0, all / 6.0, all / 6.0]));
-    let [ours, plain] = both("3x overload", setup);
+    let scenario = |kind| Scenario::new(kind, teams(&[all / 2.0, all / 6.0, all / 6.0, all / 6.0]));
+    let [ours, plain] = both("3x overload", scenario);
     // The aim is 0.95. Its generous side: all requests are of one kind, and an engine works as fast with all slots full.
     assert!(used(&ours, &base) >= 0.95 && used(&ours, &base) > used(&plain, &base));
     assert!(jain(&ours) > 0.99 && jain(&ours) > jain(&plain));
@@ -134,8 +134,8 @@
 /// One client account sends twice what the engines can do while another sends little. The other must not notice.
 #[test]
 fn hot_caller() {
-    let all = Setup::new(Kind::Ours, Vec::new()).capacity(100);
-    let modest = |hot| move |kind| Setup::new(kind, teams(&[all * hot, 3.0]));
+    let all = Scenario::new(Kind::Ours, Vec::new()).capacity(100);
+    let modest = |hot| move |kind| Scenario::new(kind, teams(&[all * hot, 3.0]));
     let [alone, _] = both("modest account nearly alone", modest(0.01));
     let [ours, plain] = both("hot caller", modest(2.0));
     let (before, beside) = (alone.groups[1].wait(0.95), ours.groups[1].wait(0.95));
@@ -157,16 +157,16 @@
 /// One engine in twelve becomes five times as slow. Requests that go there start late.
 #[test]
 fn slow_endpoint() {
-    let setup = |factor| {
+    let scenario = |factor| {
         move |kind| {
-            let mut setup = Setup::new(kind, Vec::new());
-            setup.groups = teams(&[setup.capacity(100) * 0.6]);
-            setup.faults = vec![(3, 0.0, 120.0, Fault::Slow(factor))];
-            setup
+            let mut scenario = Scenario::new(kind, Vec::new());
+            scenario.groups = teams(&[scenario.capacity(100) * 0.6]);
+            scenario.faults = vec![(3, 0.0, 120.0, Fault::Slow(factor))];
+            scenario
         }
     };
-    let [well, _] = both("no endpoint slow", setup(1.0));
-    let [ours, plain] = both("one endpoint in twelve slow", setup(5.0));
+    let [well, _] = both("no endpoint slow", scenario(1.0));
+    let [ours, plain] = both("one endpoint in twelve slow", scenario(5.0));
     let (before, with) = (well.groups[0].wait(0.99), ours.groups[0].wait(0.99));
     // Its generous side: the twenty seconds in which routers find out are not counted.
     println!("  p99 {:.2} times what it was, aim 1.15", with / before);
@@ -177,12 +177,12 @@
 #[test]
 fn burst() {
     let [ours, plain] = both("burst of 10x for 10 s", |kind| {
-        let mut setup = Setup::new(kind, Vec::new());
-        let usual = setup.capacity(100) * 0.6;
-        setup.groups = teams(&[usual]);
-        setup.groups[0].rate = vec![(0.0, usual), (40.0, usual * 10.0), (50.0, usual)];
-        setup.groups[0].tries = 3;
-        setup
+        let mut scenario = Scenario::new(kind, Vec::new());
+        let usual = scenario.capacity(100) * 0.6;
+        scenario.groups = teams(&[usual]);
+        scenario.groups[0].rate = vec![(0.0, usual), (40.0, usual * 10.0), (50.0, usual)];
+        scenario.groups[0].tries = 3;
+        scenario
     });
     let [good, other] = [&ours, &plain].map(|o| o.groups[0].good as f64 / o.groups[0].sent as f64);
     println!(
@@ -197,10 +197,10 @@
 #[test]
 fn hot_key() {
     let [ours, plain] = both("hot key", |kind| {
-        let mut setup = Setup::new(kind, teams(&[25.0, 25.0]));
-        setup.groups[0].sessions = (1, 40);
-        setup.groups[1].sessions = (120, 40);
-        setup
+        let mut scenario = Scenario::new(kind, teams(&[25.0, 25.0]));
+        scenario.groups[0].sessions = (1, 40);
+        scenario.groups[1].sessions = (120, 40);
+        scenario
     });
     assert!(found(&ours) >= 0.9);
     for (ours, plain) in ours.groups.iter().zip(&plain.groups) {
@@ -212,9 +212,9 @@
 #[test]
 fn conversations() {
     let [ours, plain] = both("conversations", |kind| {
-        let mut setup = Setup::new(kind, teams(&[50.0]));
-        setup.groups[0].sessions = (300, 40);
-        setup
+        let mut scenario = Scenario::new(kind, teams(&[50.0]));
+        scenario.groups[0].sessions = (300, 40);
+        scenario
     });
     // The aim is 0.9. Its generous side: the oracle only looks at engines with a free slot.
     assert!(found(&ours) >= 0.9 && found(&plain) < 0.5);
@@ -225,13 +225,13 @@
 /// those that are left can't do the work.
 #[test]
 fn flapping() {
-    let setup = |caps: EjectionLimits| {
+    let scenario = |caps: EjectionLimits| {
         move |kind| {
-            let mut setup = Setup::new(kind, Vec::new());
-            setup.groups = teams(&[setup.capacity(100) * 0.7]);
-            setup.faults = (0..12).map(|e| (e, 30.0, 90.0, Fault::Flap)).collect();
-            setup.caps = caps;
-            setup
+            let mut scenario = Scenario::new(kind, Vec::new());
+            scenario.groups = teams(&[scenario.capacity(100) * 0.7]);
+            scenario.faults = (0..12).map(|e| (e, 30.0, 90.0, Fault::Flap)).collect();
+            scenario.caps = caps;
+            scenario
         }
     };
     let uncapped = EjectionLimits {
@@ -239,8 +239,8 @@
         domain: 1.0,
         interval: Duration::ZERO,
     };
-    let [capped, plain] = both("flapping checks", setup(EjectionLimits::default()));
-    let [uncapped, _] = both("flapping checks, without caps", setup(uncapped));
+    let [capped, plain] = both("flapping checks", scenario(EjectionLimits::default()));
+    let [uncapped, _] = both("flapping checks, without caps", scenario(uncapped));
     let [capped, uncapped, plain] = [capped, uncapped, plain].map(|o| o.groups[0].wait(0.95));
     println!("  p95 wait {capped:.3} s with caps, {uncapped:.3} s without, plain {plain:.3} s");
     assert!(capped < 1.0 && uncapped > 2.0 * capped && plain > capped);
@@ -250,11 +250,11 @@
 #[test]
 fn long_among_short() {
     let [ours, plain] = both("long among short", |kind| {
-        let mut setup = Setup::new(kind, Vec::new());
-        let all = setup.capacity(100) / 2.9 * 0.9;
-        setup.groups = teams(&[all * 0.9, all * 0.1]);
-        setup.groups[1].tokens = 2000;
-        setup
+        let mut scenario = Scenario::new(kind, Vec::new());
+        let all = scenario.capacity(100) / 2.9 * 0.9;
+        scenario.groups = teams(&[all * 0.9, all * 0.1]);
+        scenario.groups[1].tokens = 2000;
+        scenario
     });
     assert!(ours.groups[0].wait(0.95) <= plain.groups[0].wait(0.95));
 }
@@ -263,11 +263,11 @@
 #[test]
 fn retry_storm() {
     let [ours, plain] = both("outage of 20 s", |kind| {
-        let mut setup = Setup::new(kind, Vec::new());
-        setup.groups = teams(&[setup.capacity(100) * 0.8]);
-        setup.groups[0].tries = 6;
-        setup.faults = (0..12).map(|e| (e, 40.0, 60.0, Fault::Down)).collect();
-        setup
+        let mut scenario = Scenario::new(kind, Vec::new());
+        scenario.groups = teams(&[scenario.capacity(100) * 0.8]);
+        scenario.groups[0].tries = 6;
+        scenario.faults = (0..12).map(|e| (e, 40.0, 60.0, Fault::Down)).collect();
+        scenario
     });
     let good = ours.groups[0].good as f64 / ours.groups[0].sent as f64;
     println!(
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -28,7 +28,7 @@
 use crate::engine::SLOTS;
 use crate::name;
 use crate::sim::Job;
-use crate::sim::Setup;
+use crate::sim::Scenario;
 
 /// What both kinds of router hold at most in their queues.
 const QUEUE: usize = 1000;
@@ -75,7 +75,7 @@
 }
 
 impl Router {
-    pub(crate) fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+    pub(crate) fn new(at: usize, now: Instant, setup: &Scenario, rng: ChaCha8Rng) -> Self {
         match setup.kind {
             Kind::Ours => Self::Ours(Box::new(Ours::new(at, now, setup, rng))),
             Kind::Plain => Self::Plain(Plain {
@@ -199,7 +199,7 @@
 }
 
 impl Ours {
-    fn new(at: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+    fn new(at: usize, now: Instant, setup: &Scenario, rng: ChaCha8Rng) -> Self {
         let router: VmId = name(&format!("r{at}"));
         let mut chooser = Chooser::new(&router);
         let mut ejector = Ejector::new(setup.caps);
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -31,7 +31,7 @@
 
 /// Requests of one kind.
 #[derive(Clone, Debug)]
-pub(crate) struct Group {
+pub(crate) struct Workload {
     pub(crate) team: &'static str,
     pub(crate) account: &'static str,
     /// Requests a second from these times on.
@@ -46,7 +46,7 @@
     pub(crate) limits: Limits,
 }
 
-impl Group {
+impl Workload {
     pub(crate) fn new(team: &'static str, account: &'static str, rate: f64) -> Self {
         Self {
             team,
@@ -78,20 +78,20 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Setup {
+pub(crate) struct Scenario {
     pub(crate) kind: Kind,
     pub(crate) caps: EjectionLimits,
     pub(crate) routers: usize,
     pub(crate) engines: usize,
-    pub(crate) groups: Vec<Group>,
+    pub(crate) groups: Vec<Workload>,
     pub(crate) faults: Vec<(usize, f64, f64, Fault)>,
     /// When callers stop, in seconds. What comes before `warm` is not counted.
     pub(crate) span: f64,
     pub(crate) warm: f64,
 }
 
-impl Setup {
-    pub(crate) fn new(kind: Kind, groups: Vec<Group>) -> Self {
+impl Scenario {
+    pub(crate) fn new(kind: Kind, groups: Vec<Workload>) -> Self {
         Self {
             kind,
             caps: EjectionLimits::default(),
@@ -146,7 +146,7 @@
 
 /// What callers of one group received.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Got {
+pub(crate) struct CallerStats {
     pub(crate) sent: usize,
     pub(crate) good: usize,
     pub(crate) refused: usize,
@@ -160,7 +160,7 @@
     pub(crate) work: f64,
 }
 
-impl Got {
+impl CallerStats {
     pub(crate) fn wait(&self, share: f64) -> f64 {
         let at = (self.waits.len() as f64 * share) as usize;
         self.waits.get(at).copied().unwrap_or(f64::NAN)
@@ -170,7 +170,7 @@
 /// What a run gave.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
-    pub(crate) groups: Vec<Got>,
+    pub(crate) groups: Vec<CallerStats>,
     /// Dispatches, and the blocks that they found cached of all.
     pub(crate) dispatches: usize,
     pub(crate) cached: usize,
@@ -195,8 +195,8 @@
     Check,
 }
 
-struct Sim {
-    setup: Setup,
+struct Simulation {
+    scenario: Scenario,
     base: Instant,
     now: f64,
     heap: BinaryHeap<Reverse<(u64, usize)>>,
@@ -205,57 +205,57 @@
     routers: Vec<Router>,
     jobs: Vec<Job>,
     turns: Vec<Vec<usize>>,
-    got: Outcome,
+    outcome: Outcome,
     rng: ChaCha8Rng,
 }
 
 /// Runs a scenario to its end.
-pub(crate) fn run(setup: Setup) -> Outcome {
+pub(crate) fn run(scenario: Scenario) -> Outcome {
     let base = start();
-    let routers = (0..setup.routers)
+    let routers = (0..scenario.routers)
         .map(|at| {
             Router::new(
                 at,
                 base,
-                &setup,
+                &scenario,
                 ChaCha8Rng::seed_from_u64(SEED + at as u64),
             )
         })
         .collect();
-    let mut sim = Sim {
+    let mut simulation = Simulation {
         base,
         now: 0.0,
         heap: BinaryHeap::new(),
         events: Vec::new(),
-        engines: (0..setup.engines).map(|_| Engine::new()).collect(),
+        engines: (0..scenario.engines).map(|_| Engine::new()).collect(),
         routers,
         jobs: Vec::new(),
-        turns: setup
+        turns: scenario
             .groups
             .iter()
             .map(|g| vec![1; g.sessions.0 as usize])
             .collect(),
-        got: Outcome {
-            groups: vec![Got::default(); setup.groups.len()],
+        outcome: Outcome {
+            groups: vec![CallerStats::default(); scenario.groups.len()],
             ..Outcome::default()
         },
         rng: ChaCha8Rng::seed_from_u64(SEED),
-        setup,
+        scenario,
     };
-    sim.begin();
-    while let Some(Reverse((at, event))) = sim.heap.pop() {
-        sim.now = at as f64 / 1e6;
-        if let Some(event) = sim.events[event].take() {
-            sim.step(event);
+    simulation.begin();
+    while let Some(Reverse((at, event))) = simulation.heap.pop() {
+        simulation.now = at as f64 / 1e6;
+        if let Some(event) = simulation.events[event].take() {
+            simulation.step(event);
         }
     }
-    for got in &mut sim.got.groups {
+    for got in &mut simulation.outcome.groups {
         got.waits.sort_by(f64::total_cmp);
     }
-    sim.got
+    simulation.outcome
 }
 
-impl Sim {
+impl Simulation {
     fn at(&self) -> Instant {
         self.base + Duration::from_secs_f64(self.now)
     }
@@ -267,10 +267,10 @@
     }
 
     fn begin(&mut self) {
-        for group in 0..self.setup.groups.len() {
+        for group in 0..self.scenario.groups.len() {
             self.after(0.0, Event::Arrive(group));
         }
-        for (at, (_, from, to, _)) in self.setup.faults.clone().into_iter().enumerate() {
+        for (at, (_, from, to, _)) in self.scenario.faults.clone().into_iter().enumerate() {
             self.after(from, Event::Fault(at, true));
             self.after(to, Event::Fault(at, false));
         }
@@ -297,12 +297,12 @@
     }
 
     fn arrive(&mut self, group: usize) {
-        let spec = self.setup.groups[group].clone();
+        let spec = self.scenario.groups[group].clone();
         let steps = spec.rate.iter().rev();
         let rate = steps.clone().find(|(from, _)| *from <= self.now);
         let rate = rate.map_or(0.0, |(_, rate)| *rate);
         let gap = -(1.0 - self.rng.random_range(0.0..1.0f64)).ln() / rate.max(0.1);
-        if self.now + gap < self.setup.span {
+        if self.now + gap < self.scenario.span {
             self.after(gap, Event::Arrive(group));
         }
         if rate == 0.0 {
@@ -337,7 +337,7 @@
     }
 
     /// Takes the next turn of one of the group's conversations; one that is long ends and another begins.
-    fn prompt(&mut self, group: usize, spec: &Group) -> (u64, Vec<BlockHash>) {
+    fn prompt(&mut self, group: usize, spec: &Workload) -> (u64, Vec<BlockHash>) {
         let (sessions, blocks) = spec.sessions;
         if sessions == 0 {
             return (0, Vec::new());
@@ -354,10 +354,10 @@
 
     fn count<F>(&mut self, job: usize, count: F)
     where
-        F: FnOnce(&mut Got),
+        F: FnOnce(&mut CallerStats),
     {
-        if self.jobs[job].arrived >= self.setup.warm {
-            count(&mut self.got.groups[self.jobs[job].group]);
+        if self.jobs[job].arrived >= self.scenario.warm {
+            count(&mut self.outcome.groups[self.jobs[job].group]);
         }
     }
 
@@ -371,7 +371,7 @@
             let router = self.address(id);
             self.jobs[id].router = router;
             self.jobs[id].tries += 1;
-            let patience = self.setup.groups[self.jobs[id].group].patience;
+            let patience = self.scenario.groups[self.jobs[id].group].patience;
             self.jobs[id].deadline = self.at() + Duration::from_secs_f64(patience);
             // Just after the deadline, whatever the rounding.
             self.after(patience + 1e-5, Event::HangUp(id, self.jobs[id].tries));
@@ -398,7 +398,7 @@
 
     fn refused(&mut self, id: usize, after: Duration) {
         self.jobs[id].excluded.clear();
-        if self.jobs[id].tries < self.setup.groups[self.jobs[id].group].tries {
+        if self.jobs[id].tries < self.scenario.groups[self.jobs[id].group].tries {
             self.jobs[id].away = true;
             self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].tries));
         } else {
@@ -412,7 +412,7 @@
         if job.gone(tries) || job.first.is_some() {
             return;
         }
-        let again = job.tries < self.setup.groups[job.group].tries;
+        let again = job.tries < self.scenario.groups[job.group].tries;
         if job.engine.is_some() {
             self.release(id, End::Cancelled);
         }
@@ -449,13 +449,13 @@
             id, engine, usage, ..
         } = sent;
         let now = self.now;
-        self.got.possible += self.best_cached(id);
+        self.outcome.possible += self.best_cached(id);
         let job = &mut self.jobs[id];
         job.engine = Some(engine);
         job.sent = now;
         job.thought = sent.thought;
         job.dispatch += 1;
-        self.got.dispatches += 1;
+        self.outcome.dispatches += 1;
         if self.engines[engine].down {
             // A connection that is refused takes a moment.
             let dispatch = job.dispatch;
@@ -486,8 +486,8 @@
             job.begun = self.now;
             let (first, rest) = at.run(job.session, &job.prompt, job.tokens);
             at.running.push(id);
-            self.got.cached += job.cached;
-            self.got.blocks += job.prompt.len();
+            self.outcome.cached += job.cached;
+            self.outcome.blocks += job.prompt.len();
             let dispatch = job.dispatch;
             self.after(first, Event::First(id, dispatch));
             self.after(first + rest, Event::Done(id, dispatch));
@@ -522,8 +522,8 @@
             End::Whole(Duration::from_secs_f64(first - sent), cached),
         );
         self.jobs[id].over = true;
-        let got = &mut self.got.groups[self.jobs[id].group];
-        let within = self.now.min(self.setup.span) - begun.max(self.setup.warm);
+        let got = &mut self.outcome.groups[self.jobs[id].group];
+        let within = self.now.min(self.scenario.span) - begun.max(self.scenario.warm);
         got.work += within.max(0.0);
         got.times.push((first, first - arrived));
         self.count(id, |got| {
@@ -542,7 +542,7 @@
             None => {
                 self.jobs[id].excluded.clear();
                 let job = &self.jobs[id];
-                if job.tries < self.setup.groups[job.group].tries {
+                if job.tries < self.scenario.groups[job.group].tries {
                     self.jobs[id].away = true;
                     self.after(1.0, Event::Try(id, self.jobs[id].tries));
                 } else {
@@ -578,9 +578,9 @@
                 waiting: at.waiting.len() as u32,
                 measured,
             };
-            if self.now > self.setup.warm {
+            if self.now > self.scenario.warm {
                 let load = (at.running.len(), at.waiting.len());
-                self.got.loads.push(load);
+                self.outcome.loads.push(load);
             }
             let event = at.event();
             let lag = self.rng.random_range(0.5..1.5);
@@ -590,7 +590,7 @@
                 self.after(lag, Event::Cached(engine, event));
             }
         }
-        if self.now < self.setup.span {
+        if self.now < self.scenario.span {
             self.after(1.0, Event::Report);
         }
     }
@@ -604,7 +604,7 @@
     }
 
     fn fault(&mut self, at: usize, on: bool) {
-        let (engine, _, _, fault) = self.setup.faults[at];
+        let (engine, _, _, fault) = self.scenario.faults[at];
         let hit = &mut self.engines[engine];
         match fault {
             Fault::Slow(factor) => hit.slow = if on { factor } else { 1.0 },
@@ -627,7 +627,7 @@
             }
             self.pump(router);
         }
-        if self.now < self.setup.span {
+        if self.now < self.scenario.span {
             self.after(1.0, Event::Check);
         }
     }
