--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -23,8 +23,8 @@
     [Kind::Ours, Kind::Plain].map(|kind| {
         let scenario = scenario(kind);
         let outcome = run(scenario.clone());
-        for (group, got) in scenario.groups.iter().zip(&outcome.groups) {
-            print_row(kind, group, got, &scenario);
+        for (workload, got) in scenario.workloads.iter().zip(&outcome.workloads) {
+            print_row(kind, workload, got, &scenario);
         }
         let (running, waiting) = load(&outcome);
         if outcome.blocks > 0 {
@@ -40,11 +40,11 @@
     })
 }
 
-fn print_row(kind: Kind, group: &Workload, got: &CallerStats, scenario: &Scenario) {
+fn print_row(kind: Kind, workload: &Workload, got: &CallerStats, scenario: &Scenario) {
     let kind = format!("{kind:?}");
     println!(
         "  {kind:6} {:12} {:6} {:6} {:6} {:5} {:5} {:9.3} {:6.3} {:6.3} {:10.3}",
-        group.account,
+        workload.account,
         got.sent,
         got.good,
         got.refused,
@@ -58,12 +58,12 @@
 }
 
 fn slots(scenario: &Scenario) -> f64 {
-    (scenario.engines * crate::engine::SLOTS) as f64 * (scenario.span - scenario.warm)
+    (scenario.engines * crate::engine::SLOTS) as f64 * (scenario.duration_s - scenario.warmup_s)
 }
 
 /// Returns the share of all slots' time that went into answers that callers received in time.
 fn used(outcome: &Outcome, scenario: &Scenario) -> f64 {
-    outcome.groups.iter().map(|g| g.work).sum::<f64>() / slots(scenario)
+    outcome.workloads.iter().map(|g| g.work).sum::<f64>() / slots(scenario)
 }
 
 /// Returns the cached blocks found, of those that an oracle would have.
@@ -81,7 +81,7 @@
 
 /// Returns Jain's index of the groups' parts: 1 when all are alike.
 fn jain(outcome: &Outcome) -> f64 {
-    let parts: Vec<_> = outcome.groups.iter().map(|g| g.work).collect();
+    let parts: Vec<_> = outcome.workloads.iter().map(|g| g.work).collect();
     let sum: f64 = parts.iter().sum();
     let squares: f64 = parts.iter().map(|p| p * p).sum();
     sum * sum / (squares * parts.len() as f64)
@@ -125,10 +125,10 @@
     assert!(used(&ours, &base) >= 0.95 && used(&ours, &base) > used(&plain, &base));
     assert!(jain(&ours) > 0.99 && jain(&ours) > jain(&plain));
     assert!(
-        ours.groups.iter().all(|g| g.late == 0),
+        ours.workloads.iter().all(|g| g.late == 0),
         "the others are told at once"
     );
-    assert!(ours.groups[1].wait(0.95) < plain.groups[1].wait(0.95));
+    assert!(ours.workloads[1].wait(0.95) < plain.workloads[1].wait(0.95));
 }
 
 /// One client account sends twice what the engines can do while another sends little. The other must not notice.
@@ -138,7 +138,7 @@
     let modest = |hot| move |kind| Scenario::new(kind, teams(&[all * hot, 3.0]));
     let [alone, _] = both("modest account nearly alone", modest(0.01));
     let [ours, plain] = both("hot caller", modest(2.0));
-    let (before, beside) = (alone.groups[1].wait(0.95), ours.groups[1].wait(0.95));
+    let (before, beside) = (alone.workloads[1].wait(0.95), ours.workloads[1].wait(0.95));
     // The aim of 1.2 is missed for the first token: an engine whose slots are full must end one first, about an eighth of
     // a second with answers of two seconds. It is met for the whole answer.
     println!(
@@ -150,8 +150,8 @@
         (beside + 2.0) / (before + 2.0)
     );
     assert!((beside + 2.0) / (before + 2.0) < 1.2);
-    assert_eq!(ours.groups[1].good, ours.groups[1].sent);
-    assert!(plain.groups[1].wait(0.95) > 10.0 * beside && plain.groups[1].late > 0);
+    assert_eq!(ours.workloads[1].good, ours.workloads[1].sent);
+    assert!(plain.workloads[1].wait(0.95) > 10.0 * beside && plain.workloads[1].late > 0);
 }
 
 /// One engine in twelve becomes five times as slow. Requests that go there start late.
@@ -160,17 +160,17 @@
     let scenario = |factor| {
         move |kind| {
             let mut scenario = Scenario::new(kind, Vec::new());
-            scenario.groups = teams(&[scenario.capacity(100) * 0.6]);
+            scenario.workloads = teams(&[scenario.capacity(100) * 0.6]);
             scenario.faults = vec![(3, 0.0, 120.0, Fault::Slow(factor))];
             scenario
         }
     };
     let [well, _] = both("no endpoint slow", scenario(1.0));
     let [ours, plain] = both("one endpoint in twelve slow", scenario(5.0));
-    let (before, with) = (well.groups[0].wait(0.99), ours.groups[0].wait(0.99));
+    let (before, with) = (well.workloads[0].wait(0.99), ours.workloads[0].wait(0.99));
     // Its generous side: the twenty seconds in which routers find out are not counted.
     println!("  p99 {:.2} times what it was, aim 1.15", with / before);
-    assert!(with < before * 1.15 && plain.groups[0].wait(0.99) > before * 1.15);
+    assert!(with < before * 1.15 && plain.workloads[0].wait(0.99) > before * 1.15);
 }
 
 /// Ten times the usual load comes for ten seconds. Those that are refused come back, together if they are told the same.
@@ -179,16 +179,17 @@
     let [ours, plain] = both("burst of 10x for 10 s", |kind| {
         let mut scenario = Scenario::new(kind, Vec::new());
         let usual = scenario.capacity(100) * 0.6;
-        scenario.groups = teams(&[usual]);
-        scenario.groups[0].rate = vec![(0.0, usual), (40.0, usual * 10.0), (50.0, usual)];
-        scenario.groups[0].tries = 3;
+        scenario.workloads = teams(&[usual]);
+        scenario.workloads[0].rate_steps = vec![(0.0, usual), (40.0, usual * 10.0), (50.0, usual)];
+        scenario.workloads[0].max_attempts = 3;
         scenario
     });
-    let [good, other] = [&ours, &plain].map(|o| o.groups[0].good as f64 / o.groups[0].sent as f64);
+    let [good, other] =
+        [&ours, &plain].map(|o| o.workloads[0].good as f64 / o.workloads[0].sent as f64);
     println!(
         "  answered {good:.3}, plain {other:.3}; as before after {:.0} s, plain {:.0} s",
-        recovered(&ours.groups[0], 50.0),
-        recovered(&plain.groups[0], 50.0)
+        recovered(&ours.workloads[0], 50.0),
+        recovered(&plain.workloads[0], 50.0)
     );
     assert!(good > other * 1.1);
 }
@@ -198,12 +199,12 @@
 fn hot_key() {
     let [ours, plain] = both("hot key", |kind| {
         let mut scenario = Scenario::new(kind, teams(&[25.0, 25.0]));
-        scenario.groups[0].sessions = (1, 40);
-        scenario.groups[1].sessions = (120, 40);
+        scenario.workloads[0].sessions = (1, 40);
+        scenario.workloads[1].sessions = (120, 40);
         scenario
     });
     assert!(found(&ours) >= 0.9);
-    for (ours, plain) in ours.groups.iter().zip(&plain.groups) {
+    for (ours, plain) in ours.workloads.iter().zip(&plain.workloads) {
         assert!(ours.wait(0.95) < plain.wait(0.95));
     }
 }
@@ -213,37 +214,43 @@
 fn conversations() {
     let [ours, plain] = both("conversations", |kind| {
         let mut scenario = Scenario::new(kind, teams(&[50.0]));
-        scenario.groups[0].sessions = (300, 40);
+        scenario.workloads[0].sessions = (300, 40);
         scenario
     });
     // The aim is 0.9. Its generous side: the oracle only looks at engines with a free slot.
     assert!(found(&ours) >= 0.9 && found(&plain) < 0.5);
-    assert!(ours.groups[0].wait(0.95) < plain.groups[0].wait(0.95));
+    assert!(ours.workloads[0].wait(0.95) < plain.workloads[0].wait(0.95));
 }
 
 /// Checks of all engines fail at random for a minute, seven in ten, though the engines work. Without a cap most go out, and
 /// those that are left can't do the work.
 #[test]
 fn flapping() {
-    let scenario = |caps: EjectionLimits| {
+    let scenario = |limits: EjectionLimits| {
         move |kind| {
             let mut scenario = Scenario::new(kind, Vec::new());
-            scenario.groups = teams(&[scenario.capacity(100) * 0.7]);
+            scenario.workloads = teams(&[scenario.capacity(100) * 0.7]);
             scenario.faults = (0..12).map(|e| (e, 30.0, 90.0, Fault::Flap)).collect();
-            scenario.caps = caps;
+            scenario.ejection_limits = limits;
             scenario
         }
     };
-    let uncapped = EjectionLimits {
+    let unlimited = EjectionLimits {
         pool: 1.0,
         domain: 1.0,
         interval: Duration::ZERO,
     };
-    let [capped, plain] = both("flapping checks", scenario(EjectionLimits::default()));
-    let [uncapped, _] = both("flapping checks, without caps", scenario(uncapped));
-    let [capped, uncapped, plain] = [capped, uncapped, plain].map(|o| o.groups[0].wait(0.95));
-    println!("  p95 wait {capped:.3} s with caps, {uncapped:.3} s without, plain {plain:.3} s");
-    assert!(capped < 1.0 && uncapped > 2.0 * capped && plain > capped);
+    let [limited, plain] = both("flapping checks", scenario(EjectionLimits::default()));
+    let [unlimited, _] = both(
+        "flapping checks, without ejection limits",
+        scenario(unlimited),
+    );
+    let [limited, unlimited, plain] =
+        [limited, unlimited, plain].map(|o| o.workloads[0].wait(0.95));
+    println!(
+        "  p95 wait {limited:.3} s with ejection limits, {unlimited:.3} s without, plain {plain:.3} s"
+    );
+    assert!(limited < 1.0 && unlimited > 2.0 * limited && plain > limited);
 }
 
 /// One request in ten is twenty times as long as the others.
@@ -252,11 +259,11 @@
     let [ours, plain] = both("long among short", |kind| {
         let mut scenario = Scenario::new(kind, Vec::new());
         let all = scenario.capacity(100) / 2.9 * 0.9;
-        scenario.groups = teams(&[all * 0.9, all * 0.1]);
-        scenario.groups[1].tokens = 2000;
+        scenario.workloads = teams(&[all * 0.9, all * 0.1]);
+        scenario.workloads[1].tokens = 2000;
         scenario
     });
-    assert!(ours.groups[0].wait(0.95) <= plain.groups[0].wait(0.95));
+    assert!(ours.workloads[0].wait(0.95) <= plain.workloads[0].wait(0.95));
 }
 
 /// All engines are down for twenty seconds, and callers try again and again.
@@ -264,18 +271,18 @@
 fn retry_storm() {
     let [ours, plain] = both("outage of 20 s", |kind| {
         let mut scenario = Scenario::new(kind, Vec::new());
-        scenario.groups = teams(&[scenario.capacity(100) * 0.8]);
-        scenario.groups[0].tries = 6;
+        scenario.workloads = teams(&[scenario.capacity(100) * 0.8]);
+        scenario.workloads[0].max_attempts = 6;
         scenario.faults = (0..12).map(|e| (e, 40.0, 60.0, Fault::Down)).collect();
         scenario
     });
-    let good = ours.groups[0].good as f64 / ours.groups[0].sent as f64;
+    let good = ours.workloads[0].good as f64 / ours.workloads[0].sent as f64;
     println!(
         "  answered {good:.3}; dispatches {}, plain {}; as before after {:.0} s, plain {:.0} s",
         ours.dispatches,
         plain.dispatches,
-        recovered(&ours.groups[0], 60.0),
-        recovered(&plain.groups[0], 60.0)
+        recovered(&ours.workloads[0], 60.0),
+        recovered(&plain.workloads[0], 60.0)
     );
     assert!(good > 0.98);
 }
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -94,7 +94,7 @@
             Self::Ours(ours) => ours.arrive(now, id, job),
             Self::Plain(plain) if plain.queue.len() >= QUEUE => Err(Duration::from_secs(1)),
             Self::Plain(plain) => {
-                plain.queue.push_back((id, job.tries));
+                plain.queue.push_back((id, job.attempts));
                 Ok(())
             }
         }
@@ -202,14 +202,14 @@
     fn new(at: usize, now: Instant, setup: &Scenario, rng: ChaCha8Rng) -> Self {
         let router: VmId = name(&format!("r{at}"));
         let mut chooser = Chooser::new(&router);
-        let mut ejector = Ejector::new(setup.caps);
+        let mut ejector = Ejector::new(setup.ejection_limits);
         let vms: Vec<VmId> = (0..setup.engines).map(|e| name(&format!("e{e}"))).collect();
         for (engine, vm) in vms.iter().enumerate() {
             chooser.put(vm, &domain(engine), &[], SLOTS as u32 * 2);
             ejector.put(now, vm, &domain(engine));
         }
         let limits = setup
-            .groups
+            .workloads
             .iter()
             .map(|g| (name(g.account), AccountLimit::new(now, &g.limits)))
             .collect();
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -35,14 +35,14 @@
     pub(crate) team: &'static str,
     pub(crate) account: &'static str,
     /// Requests a second from these times on.
-    pub(crate) rate: Vec<(f64, f64)>,
+    pub(crate) rate_steps: Vec<(f64, f64)>,
     pub(crate) tokens: u32,
     /// How many conversations there are, and how many blocks each adds a turn; none without.
     pub(crate) sessions: (u64, usize),
     /// Seconds that a caller waits for the first token.
-    pub(crate) patience: f64,
+    pub(crate) timeout_s: f64,
     /// How often a caller tries.
-    pub(crate) tries: u32,
+    pub(crate) max_attempts: u32,
     pub(crate) limits: Limits,
 }
 
@@ -51,11 +51,11 @@
         Self {
             team,
             account,
-            rate: vec![(0.0, rate)],
+            rate_steps: vec![(0.0, rate)],
             tokens: 100,
             sessions: (0, 0),
-            patience: 10.0,
-            tries: 1,
+            timeout_s: 10.0,
+            max_attempts: 1,
             limits: Limits {
                 rate: 100_000,
                 burst: 100_000,
@@ -80,27 +80,27 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) kind: Kind,
-    pub(crate) caps: EjectionLimits,
+    pub(crate) ejection_limits: EjectionLimits,
     pub(crate) routers: usize,
     pub(crate) engines: usize,
-    pub(crate) groups: Vec<Workload>,
+    pub(crate) workloads: Vec<Workload>,
     pub(crate) faults: Vec<(usize, f64, f64, Fault)>,
-    /// When callers stop, in seconds. What comes before `warm` is not counted.
-    pub(crate) span: f64,
-    pub(crate) warm: f64,
+    /// When callers stop, in seconds. What comes before `warmup_s` is not counted.
+    pub(crate) duration_s: f64,
+    pub(crate) warmup_s: f64,
 }
 
 impl Scenario {
-    pub(crate) fn new(kind: Kind, groups: Vec<Workload>) -> Self {
+    pub(crate) fn new(kind: Kind, workloads: Vec<Workload>) -> Self {
         Self {
             kind,
-            caps: EjectionLimits::default(),
+            ejection_limits: EjectionLimits::default(),
             routers: 6,
             engines: 12,
-            groups,
+            workloads,
             faults: Vec::new(),
-            span: 120.0,
-            warm: 20.0,
+            duration_s: 120.0,
+            warmup_s: 20.0,
         }
     }
 
@@ -112,7 +112,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) group: usize,
+    pub(crate) workload: usize,
     pub(crate) team: TeamId,
     pub(crate) account: AccountId,
     pub(crate) tokens: u32,
@@ -125,7 +125,7 @@
     /// Whether its caller waits before it tries again.
     away: bool,
     arrived: f64,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     router: usize,
     /// Where it runs or waits, since when, and the number of that dispatch.
     engine: Option<usize>,
@@ -139,12 +139,12 @@
 
 impl Job {
     /// Returns whether the caller no longer waits for this try.
-    pub(crate) fn gone(&self, tries: u32) -> bool {
-        self.over || self.away || self.tries != tries
+    pub(crate) fn gone(&self, attempt: u32) -> bool {
+        self.over || self.away || self.attempts != attempt
     }
 }
 
-/// What callers of one group received.
+/// What callers of one workload received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallerStats {
     pub(crate) sent: usize,
@@ -170,7 +170,7 @@
 /// What a run gave.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
-    pub(crate) groups: Vec<CallerStats>,
+    pub(crate) workloads: Vec<CallerStats>,
     /// Dispatches, and the blocks that they found cached of all.
     pub(crate) dispatches: usize,
     pub(crate) cached: usize,
@@ -231,12 +231,12 @@
         routers,
         jobs: Vec::new(),
         turns: scenario
-            .groups
+            .workloads
             .iter()
             .map(|g| vec![1; g.sessions.0 as usize])
             .collect(),
         outcome: Outcome {
-            groups: vec![CallerStats::default(); scenario.groups.len()],
+            workloads: vec![CallerStats::default(); scenario.workloads.len()],
             ..Outcome::default()
         },
         rng: ChaCha8Rng::seed_from_u64(SEED),
@@ -249,7 +249,7 @@
             simulation.step(event);
         }
     }
-    for got in &mut simulation.outcome.groups {
+    for got in &mut simulation.outcome.workloads {
         got.waits.sort_by(f64::total_cmp);
     }
     simulation.outcome
@@ -267,8 +267,8 @@
     }
 
     fn begin(&mut self) {
-        for group in 0..self.scenario.groups.len() {
-            self.after(0.0, Event::Arrive(group));
+        for workload in 0..self.scenario.workloads.len() {
+            self.after(0.0, Event::Arrive(workload));
         }
         for (at, (_, from, to, _)) in self.scenario.faults.clone().into_iter().enumerate() {
             self.after(from, Event::Fault(at, true));
@@ -280,9 +280,9 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Arrive(group) => self.arrive(group),
-            Event::Try(job, tries) => self.try_job(job, tries),
-            Event::HangUp(job, tries) => self.hang_up(job, tries),
+            Event::Arrive(workload) => self.arrive(workload),
+            Event::Try(job, attempt) => self.try_job(job, attempt),
+            Event::HangUp(job, attempt) => self.hang_up(job, attempt),
             Event::First(job, dispatch) => self.first(job, dispatch),
             Event::Done(job, dispatch) => self.done(job, dispatch),
             Event::Report => self.report(),
@@ -296,32 +296,32 @@
         }
     }
 
-    fn arrive(&mut self, group: usize) {
-        let spec = self.scenario.groups[group].clone();
-        let steps = spec.rate.iter().rev();
+    fn arrive(&mut self, workload: usize) {
+        let spec = self.scenario.workloads[workload].clone();
+        let steps = spec.rate_steps.iter().rev();
         let rate = steps.clone().find(|(from, _)| *from <= self.now);
         let rate = rate.map_or(0.0, |(_, rate)| *rate);
         let gap = -(1.0 - self.rng.random_range(0.0..1.0f64)).ln() / rate.max(0.1);
-        if self.now + gap < self.scenario.span {
-            self.after(gap, Event::Arrive(group));
+        if self.now + gap < self.scenario.duration_s {
+            self.after(gap, Event::Arrive(workload));
         }
         if rate == 0.0 {
             return;
         }
-        let (session, prompt) = self.prompt(group, &spec);
+        let (session, prompt) = self.prompt(workload, &spec);
         let job = Job {
-            group,
+            workload,
             team: name(spec.team),
             account: name(spec.account),
             tokens: (f64::from(spec.tokens) * self.rng.random_range(0.2..1.8)) as u32,
             session,
             prompt,
-            deadline: self.at() + Duration::from_secs_f64(spec.patience),
+            deadline: self.at() + Duration::from_secs_f64(spec.timeout_s),
             excluded: Vec::new(),
             over: false,
             away: false,
             arrived: self.now,
-            tries: 0,
+            attempts: 0,
             router: 0,
             engine: None,
             sent: 0.0,
@@ -336,17 +336,17 @@
         self.try_job(self.jobs.len() - 1, 0);
     }
 
-    /// Takes the next turn of one of the group's conversations; one that is long ends and another begins.
-    fn prompt(&mut self, group: usize, spec: &Workload) -> (u64, Vec<BlockHash>) {
+    /// Takes the next turn of one of the workload's conversations; one that is long ends and another begins.
+    fn prompt(&mut self, workload: usize, spec: &Workload) -> (u64, Vec<BlockHash>) {
         let (sessions, blocks) = spec.sessions;
         if sessions == 0 {
             return (0, Vec::new());
         }
         let session = self.rng.random_range(0..sessions);
-        let turns = &mut self.turns[group][session as usize];
+        let turns = &mut self.turns[workload][session as usize];
         *turns += 1;
         let turn = *turns % 8 + 1;
-        let session = (group as u64) << 48 | session << 24 | (*turns / 8) as u64;
+        let session = (workload as u64) << 48 | session << 24 | (*turns / 8) as u64;
         let hash =
             |block| BlockHash(session.wrapping_mul(0x9e37_79b9) ^ block as u64 ^ session << 20);
         (session, (0..turn * blocks).map(hash).collect())
@@ -356,13 +356,13 @@
     where
         F: FnOnce(&mut CallerStats),
     {
-        if self.jobs[job].arrived >= self.scenario.warm {
-            count(&mut self.outcome.groups[self.jobs[job].group]);
+        if self.jobs[job].arrived >= self.scenario.warmup_s {
+            count(&mut self.outcome.workloads[self.jobs[job].workload]);
         }
     }
 
-    fn try_job(&mut self, id: usize, tries: u32) {
-        if self.jobs[id].over || self.jobs[id].tries != tries {
+    fn try_job(&mut self, id: usize, attempt: u32) {
+        if self.jobs[id].over || self.jobs[id].attempts != attempt {
             return;
         }
         self.jobs[id].away = false;
@@ -370,11 +370,11 @@
         if self.jobs[id].excluded.is_empty() {
             let router = self.address(id);
             self.jobs[id].router = router;
-            self.jobs[id].tries += 1;
-            let patience = self.scenario.groups[self.jobs[id].group].patience;
-            self.jobs[id].deadline = self.at() + Duration::from_secs_f64(patience);
+            self.jobs[id].attempts += 1;
+            let timeout_s = self.scenario.workloads[self.jobs[id].workload].timeout_s;
+            self.jobs[id].deadline = self.at() + Duration::from_secs_f64(timeout_s);
             // Just after the deadline, whatever the rounding.
-            self.after(patience + 1e-5, Event::HangUp(id, self.jobs[id].tries));
+            self.after(timeout_s + 1e-5, Event::HangUp(id, self.jobs[id].attempts));
         }
         let (now, router) = (self.at(), self.jobs[id].router);
         match self.routers[router].arrive(now, id, &self.jobs[id]) {
@@ -387,7 +387,7 @@
     fn address(&mut self, id: usize) -> usize {
         let job = &self.jobs[id];
         let count = self.routers.len();
-        match (job.session, job.tries) {
+        match (job.session, job.attempts) {
             (0, _) | (_, 1..) => self.rng.random_range(0..count),
             (session, 0) => {
                 let mut rng = ChaCha8Rng::seed_from_u64((session >> 24) ^ (self.now / 30.0) as u64);
@@ -398,21 +398,21 @@
 
     fn refused(&mut self, id: usize, after: Duration) {
         self.jobs[id].excluded.clear();
-        if self.jobs[id].tries < self.scenario.groups[self.jobs[id].group].tries {
+        if self.jobs[id].attempts < self.scenario.workloads[self.jobs[id].workload].max_attempts {
             self.jobs[id].away = true;
-            self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].tries));
+            self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].attempts));
         } else {
             self.jobs[id].over = true;
             self.count(id, |got| got.refused += 1);
         }
     }
 
-    fn hang_up(&mut self, id: usize, tries: u32) {
+    fn hang_up(&mut self, id: usize, attempt: u32) {
         let job = &self.jobs[id];
-        if job.gone(tries) || job.first.is_some() {
+        if job.gone(attempt) || job.first.is_some() {
             return;
         }
-        let again = job.tries < self.scenario.groups[job.group].tries;
+        let again = job.attempts < self.scenario.workloads[job.workload].max_attempts;
         if job.engine.is_some() {
             self.release(id, End::Cancelled);
         }
@@ -425,7 +425,7 @@
         if again {
             self.jobs[id].excluded.clear();
             self.jobs[id].away = true;
-            self.after(0.0, Event::Try(id, self.jobs[id].tries));
+            self.after(0.0, Event::Try(id, self.jobs[id].attempts));
         }
     }
 
@@ -522,8 +522,8 @@
             End::Whole(Duration::from_secs_f64(first - sent), cached),
         );
         self.jobs[id].over = true;
-        let got = &mut self.outcome.groups[self.jobs[id].group];
-        let within = self.now.min(self.scenario.span) - begun.max(self.scenario.warm);
+        let got = &mut self.outcome.workloads[self.jobs[id].workload];
+        let within = self.now.min(self.scenario.duration_s) - begun.max(self.scenario.warmup_s);
         got.work += within.max(0.0);
         got.times.push((first, first - arrived));
         self.count(id, |got| {
@@ -538,13 +538,13 @@
         self.jobs[id].first = None;
         self.jobs[id].excluded.push(name(&format!("e{engine}")));
         match self.release(id, end) {
-            Some(after) => self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].tries)),
+            Some(after) => self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].attempts)),
             None => {
                 self.jobs[id].excluded.clear();
                 let job = &self.jobs[id];
-                if job.tries < self.scenario.groups[job.group].tries {
+                if job.attempts < self.scenario.workloads[job.workload].max_attempts {
                     self.jobs[id].away = true;
-                    self.after(1.0, Event::Try(id, self.jobs[id].tries));
+                    self.after(1.0, Event::Try(id, self.jobs[id].attempts));
                 } else {
                     self.jobs[id].over = true;
                     self.count(id, |got| got.failed += 1);
@@ -578,7 +578,7 @@
                 waiting: at.waiting.len() as u32,
                 measured,
             };
-            if self.now > self.scenario.warm {
+            if self.now > self.scenario.warmup_s {
                 let load = (at.running.len(), at.waiting.len());
                 self.outcome.loads.push(load);
             }
@@ -590,7 +590,7 @@
                 self.after(lag, Event::Cached(engine, event));
             }
         }
-        if self.now < self.scenario.span {
+        if self.now < self.scenario.duration_s {
             self.after(1.0, Event::Report);
         }
     }
@@ -627,7 +627,7 @@
             }
             self.pump(router);
         }
-        if self.now < self.scenario.span {
+        if self.now < self.scenario.duration_s {
             self.after(1.0, Event::Check);
         }
     }
