--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -283,7 +283,7 @@
         let sample = match end {
             End::Whole(time, cached) => {
                 self.index
-                    .record_served(&vm, &job.prompt, job.thought, cached);
+                    .record_served(&vm, &job.prompt, job.expected_cached, cached);
                 Sample::Answered(time)
             }
             End::Failed | End::Refused => {
@@ -305,7 +305,7 @@
 
 impl Plain {
     fn next(&mut self, jobs: &[Job]) -> Option<Sent> {
-        let gone = |(id, tries): &(usize, u32)| jobs[*id].gone(*tries);
+        let gone = |(id, tries): &(usize, u32)| jobs[*id].is_stale(*tries);
         while self.queue.front().is_some_and(gone) {
             self.queue.pop_front();
         }
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -121,26 +121,26 @@
     pub(crate) deadline: Instant,
     pub(crate) excluded: Vec<VmId>,
     /// Whether its caller has its final answer or hung up.
-    over: bool,
+    finished: bool,
     /// Whether its caller waits before it tries again.
-    away: bool,
-    arrived: f64,
+    backing_off: bool,
+    arrived_s: f64,
     pub(crate) attempts: u32,
     router: usize,
     /// Where it runs or waits, since when, and the number of that dispatch.
     engine: Option<usize>,
-    sent: f64,
-    begun: f64,
-    dispatch: u32,
-    pub(crate) thought: usize,
-    first: Option<f64>,
-    cached: usize,
+    sent_s: f64,
+    started_s: f64,
+    dispatches: u32,
+    pub(crate) expected_cached: usize,
+    first_token_s: Option<f64>,
+    cached_blocks: usize,
 }
 
 impl Job {
     /// Returns whether the caller no longer waits for this try.
-    pub(crate) fn gone(&self, attempt: u32) -> bool {
-        self.over || self.away || self.attempts != attempt
+    pub(crate) fn is_stale(&self, attempt: u32) -> bool {
+        self.finished || self.backing_off || self.attempts != attempt
     }
 }
 
@@ -318,18 +318,18 @@
             prompt,
             deadline: self.at() + Duration::from_secs_f64(spec.timeout_s),
             excluded: Vec::new(),
-            over: false,
-            away: false,
-            arrived: self.now,
+            finished: false,
+            backing_off: false,
+            arrived_s: self.now,
             attempts: 0,
             router: 0,
             engine: None,
-            sent: 0.0,
-            begun: 0.0,
-            dispatch: 0,
-            thought: 0,
-            first: None,
-            cached: 0,
+            sent_s: 0.0,
+            started_s: 0.0,
+            dispatches: 0,
+            expected_cached: 0,
+            first_token_s: None,
+            cached_blocks: 0,
         };
         self.jobs.push(job);
         self.count(self.jobs.len() - 1, |got| got.sent += 1);
@@ -356,16 +356,16 @@
     where
         F: FnOnce(&mut CallerStats),
     {
-        if self.jobs[job].arrived >= self.scenario.warmup_s {
+        if self.jobs[job].arrived_s >= self.scenario.warmup_s {
             count(&mut self.outcome.workloads[self.jobs[job].workload]);
         }
     }
 
     fn try_job(&mut self, id: usize, attempt: u32) {
-        if self.jobs[id].over || self.jobs[id].attempts != attempt {
+        if self.jobs[id].finished || self.jobs[id].attempts != attempt {
             return;
         }
-        self.jobs[id].away = false;
+        self.jobs[id].backing_off = false;
         // A router's own retry stays there; a caller's goes to any router.
         if self.jobs[id].excluded.is_empty() {
             let router = self.address(id);
@@ -399,17 +399,17 @@
     fn refused(&mut self, id: usize, after: Duration) {
         self.jobs[id].excluded.clear();
         if self.jobs[id].attempts < self.scenario.workloads[self.jobs[id].workload].max_attempts {
-            self.jobs[id].away = true;
+            self.jobs[id].backing_off = true;
             self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].attempts));
         } else {
-            self.jobs[id].over = true;
+            self.jobs[id].finished = true;
             self.count(id, |got| got.refused += 1);
         }
     }
 
     fn hang_up(&mut self, id: usize, attempt: u32) {
         let job = &self.jobs[id];
-        if job.gone(attempt) || job.first.is_some() {
+        if job.is_stale(attempt) || job.first_token_s.is_some() {
             return;
         }
         let again = job.attempts < self.scenario.workloads[job.workload].max_attempts;
@@ -418,13 +418,13 @@
         }
         let router = self.jobs[id].router;
         if !again {
-            self.jobs[id].over = true;
+            self.jobs[id].finished = true;
             self.count(id, |got| got.late += 1);
         }
         self.pump(router);
         if again {
             self.jobs[id].excluded.clear();
-            self.jobs[id].away = true;
+            self.jobs[id].backing_off = true;
             self.after(0.0, Event::Try(id, self.jobs[id].attempts));
         }
     }
@@ -435,7 +435,7 @@
         for id in self.routers[router].given_up(now) {
             let job = &self.jobs[id];
             self.routers[router].leave(job);
-            if !job.over && job.first.is_none() && now < job.deadline {
+            if !job.finished && job.first_token_s.is_none() && now < job.deadline {
                 self.refused(id, Duration::from_secs(2));
             }
         }
@@ -452,13 +452,13 @@
         self.outcome.possible += self.best_cached(id);
         let job = &mut self.jobs[id];
         job.engine = Some(engine);
-        job.sent = now;
-        job.thought = sent.thought;
-        job.dispatch += 1;
+        job.sent_s = now;
+        job.expected_cached = sent.thought;
+        job.dispatches += 1;
         self.outcome.dispatches += 1;
         if self.engines[engine].down {
             // A connection that is refused takes a moment.
-            let dispatch = job.dispatch;
+            let dispatch = job.dispatches;
             self.after(0.005, Event::Done(id, dispatch));
             return;
         }
@@ -482,13 +482,13 @@
         {
             let job = &mut self.jobs[id];
             let at = &mut self.engines[engine];
-            job.cached = at.cached(job.session, job.prompt.len());
-            job.begun = self.now;
+            job.cached_blocks = at.cached(job.session, job.prompt.len());
+            job.started_s = self.now;
             let (first, rest) = at.run(job.session, &job.prompt, job.tokens);
             at.running.push(id);
-            self.outcome.cached += job.cached;
+            self.outcome.cached += job.cached_blocks;
             self.outcome.blocks += job.prompt.len();
-            let dispatch = job.dispatch;
+            let dispatch = job.dispatches;
             self.after(first, Event::First(id, dispatch));
             self.after(first + rest, Event::Done(id, dispatch));
         }
@@ -496,11 +496,11 @@
 
     fn first(&mut self, id: usize, dispatch: u32) {
         let job = &mut self.jobs[id];
-        if job.dispatch != dispatch || job.engine.is_none() {
+        if job.dispatches != dispatch || job.engine.is_none() {
             return;
         }
-        job.first = Some(self.now);
-        let time = Duration::from_secs_f64(self.now - job.sent);
+        job.first_token_s = Some(self.now);
+        let time = Duration::from_secs_f64(self.now - job.sent_s);
         let (engine, router) = (job.engine.expect("it runs"), job.router);
         let now = self.at();
         self.routers[router].first_token(now, engine, time);
@@ -508,34 +508,34 @@
 
     fn done(&mut self, id: usize, dispatch: u32) {
         let job = &self.jobs[id];
-        let Some(engine) = job.engine.filter(|_| job.dispatch == dispatch) else {
+        let Some(engine) = job.engine.filter(|_| job.dispatches == dispatch) else {
             return;
         };
-        let (sent, cached) = (job.sent, job.cached);
-        let Some(first) = job.first.filter(|_| !self.engines[engine].down) else {
-            let begun = self.engines[engine].running.contains(&id);
-            return self.failed(id, if begun { End::Failed } else { End::Refused });
+        let (sent_s, cached) = (job.sent_s, job.cached_blocks);
+        let Some(first_s) = job.first_token_s.filter(|_| !self.engines[engine].down) else {
+            let started = self.engines[engine].running.contains(&id);
+            return self.failed(id, if started { End::Failed } else { End::Refused });
         };
-        let (begun, arrived) = (job.begun, job.arrived);
+        let (started_s, arrived_s) = (job.started_s, job.arrived_s);
         self.release(
             id,
-            End::Whole(Duration::from_secs_f64(first - sent), cached),
+            End::Whole(Duration::from_secs_f64(first_s - sent_s), cached),
         );
-        self.jobs[id].over = true;
+        self.jobs[id].finished = true;
         let got = &mut self.outcome.workloads[self.jobs[id].workload];
-        let within = self.now.min(self.scenario.duration_s) - begun.max(self.scenario.warmup_s);
+        let within = self.now.min(self.scenario.duration_s) - started_s.max(self.scenario.warmup_s);
         got.work += within.max(0.0);
-        got.times.push((first, first - arrived));
+        got.times.push((first_s, first_s - arrived_s));
         self.count(id, |got| {
             got.good += 1;
-            got.waits.push(first - arrived);
+            got.waits.push(first_s - arrived_s);
         });
         self.pump(self.jobs[id].router);
     }
 
     fn failed(&mut self, id: usize, end: End) {
         let engine = self.jobs[id].engine.expect("it ran");
-        self.jobs[id].first = None;
+        self.jobs[id].first_token_s = None;
         self.jobs[id].excluded.push(name(&format!("e{engine}")));
         match self.release(id, end) {
             Some(after) => self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].attempts)),
@@ -543,10 +543,10 @@
                 self.jobs[id].excluded.clear();
                 let job = &self.jobs[id];
                 if job.attempts < self.scenario.workloads[job.workload].max_attempts {
-                    self.jobs[id].away = true;
+                    self.jobs[id].backing_off = true;
                     self.after(1.0, Event::Try(id, self.jobs[id].attempts));
                 } else {
-                    self.jobs[id].over = true;
+                    self.jobs[id].finished = true;
                     self.count(id, |got| got.failed += 1);
                 }
             }
