--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -13,7 +13,7 @@
 use crate::sim::run;
 
 /// Runs a scenario with both routers and prints what callers received.
-fn both<F>(title: &str, scenario: F) -> [Outcome; 2]
+fn compare<F>(title: &str, scenario: F) -> [Outcome; 2]
 where
     F: Fn(Kind) -> Scenario,
 {
@@ -23,37 +23,37 @@
     [Kind::Ours, Kind::Plain].map(|kind| {
         let scenario = scenario(kind);
         let outcome = run(scenario.clone());
-        for (workload, got) in scenario.workloads.iter().zip(&outcome.workloads) {
-            print_row(kind, workload, got, &scenario);
+        for (workload, stats) in scenario.workloads.iter().zip(&outcome.workloads) {
+            print_row(kind, workload, stats, &scenario);
         }
-        let (running, waiting) = load(&outcome);
-        if outcome.blocks > 0 {
-            let hit = outcome.cached as f64;
-            println!("  {kind:?} found {:.3} of all blocks cached, {:.3} of an oracle's", hit / outcome.blocks as f64, hit / outcome.possible as f64);
+        let (running, waiting) = mean_load(&outcome);
+        if outcome.prompt_blocks > 0 {
+            let hit = outcome.cached_blocks as f64;
+            println!("  {kind:?} found {:.3} of all blocks cached, {:.3} of an oracle's", hit / outcome.prompt_blocks as f64, hit / outcome.oracle_blocks as f64);
         }
         println!(
             "  {kind:?} in all {:.3}, Jain {:.3}; at an endpoint {running:.1} running, {waiting:.2} waiting",
-            used(&outcome, &scenario),
+            utilization(&outcome, &scenario),
             jain(&outcome)
         );
         outcome
     })
 }
 
-fn print_row(kind: Kind, workload: &Workload, got: &CallerStats, scenario: &Scenario) {
+fn print_row(kind: Kind, workload: &Workload, stats: &CallerStats, scenario: &Scenario) {
     let kind = format!("{kind:?}");
     println!(
         "  {kind:6} {:12} {:6} {:6} {:6} {:5} {:5} {:9.3} {:6.3} {:6.3} {:10.3}",
         workload.account,
-        got.sent,
-        got.good,
-        got.refused,
-        got.late,
-        got.failed,
-        got.wait(0.5),
-        got.wait(0.95),
-        got.wait(0.99),
-        got.work / slots(scenario),
+        stats.sent,
+        stats.answered,
+        stats.refused,
+        stats.timed_out,
+        stats.failed,
+        stats.wait_quantile(0.5),
+        stats.wait_quantile(0.95),
+        stats.wait_quantile(0.99),
+        stats.slot_seconds / slots(scenario),
     );
 }
 
@@ -62,26 +62,31 @@
 }
 
 /// Returns the share of all slots' time that went into answers that callers received in time.
-fn used(outcome: &Outcome, scenario: &Scenario) -> f64 {
-    outcome.workloads.iter().map(|g| g.work).sum::<f64>() / slots(scenario)
+fn utilization(outcome: &Outcome, scenario: &Scenario) -> f64 {
+    outcome
+        .workloads
+        .iter()
+        .map(|g| g.slot_seconds)
+        .sum::<f64>()
+        / slots(scenario)
 }
 
 /// Returns the cached blocks found, of those that an oracle would have.
-fn found(outcome: &Outcome) -> f64 {
-    outcome.cached as f64 / outcome.possible as f64
+fn oracle_share(outcome: &Outcome) -> f64 {
+    outcome.cached_blocks as f64 / outcome.oracle_blocks as f64
 }
 
 /// Returns how many run and how many wait at an endpoint on average.
-fn load(outcome: &Outcome) -> (f64, f64) {
-    let count = outcome.loads.len() as f64;
-    let running: usize = outcome.loads.iter().map(|l| l.0).sum();
-    let waiting: usize = outcome.loads.iter().map(|l| l.1).sum();
+fn mean_load(outcome: &Outcome) -> (f64, f64) {
+    let count = outcome.load_samples.len() as f64;
+    let running: usize = outcome.load_samples.iter().map(|l| l.0).sum();
+    let waiting: usize = outcome.load_samples.iter().map(|l| l.1).sum();
     (running as f64 / count, waiting as f64 / count)
 }
 
 /// Returns Jain's index of the groups' parts: 1 when all are alike.
 fn jain(outcome: &Outcome) -> f64 {
-    let parts: Vec<_> = outcome.workloads.iter().map(|g| g.work).collect();
+    let parts: Vec<_> = outcome.workloads.iter().map(|g| g.slot_seconds).collect();
     let sum: f64 = parts.iter().sum();
     let squares: f64 = parts.iter().map(|p| p * p).sum();
     sum * sum / (squares * parts.len() as f64)
@@ -95,12 +100,12 @@
 
 /// Returns the seconds after `from` until callers that arrive wait for less than a second again, and go on to, nineteen in
 /// twenty of each five seconds.
-fn recovered(got: &CallerStats, from: f64) -> f64 {
+fn recovery_time(stats: &CallerStats, from: f64) -> f64 {
     let mut last = from;
     for bin in 0..40 {
         let begin = from + f64::from(bin) * 5.0;
-        let mut waits: Vec<_> = got
-            .times
+        let mut waits: Vec<_> = stats
+            .first_tokens
             .iter()
             .filter(|(first, wait)| (begin..begin + 5.0).contains(&(first - wait)))
             .map(|(_, wait)| *wait)
@@ -120,15 +125,17 @@
     let base = Scenario::new(Kind::Ours, Vec::new());
     let all = base.capacity(100) * 3.0;
     let scenario = |kind| Scenario::new(kind, teams(&[all / 2.0, all / 6.0, all / 6.0, all / 6.0]));
-    let [ours, plain] = both("3x overload", scenario);
+    let [ours, plain] = compare("3x overload", scenario);
     // The aim is 0.95. Its generous side: all requests are of one kind, and an engine works as fast with all slots full.
-    assert!(used(&ours, &base) >= 0.95 && used(&ours, &base) > used(&plain, &base));
+    assert!(
+        utilization(&ours, &base) >= 0.95 && utilization(&ours, &base) > utilization(&plain, &base)
+    );
     assert!(jain(&ours) > 0.99 && jain(&ours) > jain(&plain));
     assert!(
-        ours.workloads.iter().all(|g| g.late == 0),
+        ours.workloads.iter().all(|g| g.timed_out == 0),
         "the others are told at once"
     );
-    assert!(ours.workloads[1].wait(0.95) < plain.workloads[1].wait(0.95));
+    assert!(ours.workloads[1].wait_quantile(0.95) < plain.workloads[1].wait_quantile(0.95));
 }
 
 /// One client account sends twice what the engines can do while another sends little. The other must not notice.
@@ -136,9 +143,12 @@
 fn hot_caller() {
     let all = Scenario::new(Kind::Ours, Vec::new()).capacity(100);
     let modest = |hot| move |kind| Scenario::new(kind, teams(&[all * hot, 3.0]));
-    let [alone, _] = both("modest account nearly alone", modest(0.01));
-    let [ours, plain] = both("hot caller", modest(2.0));
-    let (before, beside) = (alone.workloads[1].wait(0.95), ours.workloads[1].wait(0.95));
+    let [alone, _] = compare("modest account nearly alone", modest(0.01));
+    let [ours, plain] = compare("hot caller", modest(2.0));
+    let (before, beside) = (
+        alone.workloads[1].wait_quantile(0.95),
+        ours.workloads[1].wait_quantile(0.95),
+    );
     // The aim of 1.2 is missed for the first token: an engine whose slots are full must end one first, about an eighth of
     // a second with answers of two seconds. It is met for the whole answer.
     println!(
@@ -150,8 +160,10 @@
         (beside + 2.0) / (before + 2.0)
     );
     assert!((beside + 2.0) / (before + 2.0) < 1.2);
-    assert_eq!(ours.workloads[1].good, ours.workloads[1].sent);
-    assert!(plain.workloads[1].wait(0.95) > 10.0 * beside && plain.workloads[1].late > 0);
+    assert_eq!(ours.workloads[1].answered, ours.workloads[1].sent);
+    assert!(
+        plain.workloads[1].wait_quantile(0.95) > 10.0 * beside && plain.workloads[1].timed_out > 0
+    );
 }
 
 /// One engine in twelve becomes five times as slow. Requests that go there start late.
@@ -165,18 +177,21 @@
             scenario
         }
     };
-    let [well, _] = both("no endpoint slow", scenario(1.0));
-    let [ours, plain] = both("one endpoint in twelve slow", scenario(5.0));
-    let (before, with) = (well.workloads[0].wait(0.99), ours.workloads[0].wait(0.99));
+    let [well, _] = compare("no endpoint slow", scenario(1.0));
+    let [ours, plain] = compare("one endpoint in twelve slow", scenario(5.0));
+    let (before, with) = (
+        well.workloads[0].wait_quantile(0.99),
+        ours.workloads[0].wait_quantile(0.99),
+    );
     // Its generous side: the twenty seconds in which routers find out are not counted.
     println!("  p99 {:.2} times what it was, aim 1.15", with / before);
-    assert!(with < before * 1.15 && plain.workloads[0].wait(0.99) > before * 1.15);
+    assert!(with < before * 1.15 && plain.workloads[0].wait_quantile(0.99) > before * 1.15);
 }
 
 /// Ten times the usual load comes for ten seconds. Those that are refused come back, together if they are told the same.
 #[test]
 fn burst() {
-    let [ours, plain] = both("burst of 10x for 10 s", |kind| {
+    let [ours, plain] = compare("burst of 10x for 10 s", |kind| {
         let mut scenario = Scenario::new(kind, Vec::new());
         let usual = scenario.capacity(100) * 0.6;
         scenario.workloads = teams(&[usual]);
@@ -185,11 +200,11 @@
         scenario
     });
     let [good, other] =
-        [&ours, &plain].map(|o| o.workloads[0].good as f64 / o.workloads[0].sent as f64);
+        [&ours, &plain].map(|o| o.workloads[0].answered as f64 / o.workloads[0].sent as f64);
     println!(
         "  answered {good:.3}, plain {other:.3}; as before after {:.0} s, plain {:.0} s",
-        recovered(&ours.workloads[0], 50.0),
-        recovered(&plain.workloads[0], 50.0)
+        recovery_time(&ours.workloads[0], 50.0),
+        recovery_time(&plain.workloads[0], 50.0)
     );
     assert!(good > other * 1.1);
 }
@@ -197,29 +212,29 @@
 /// Half of all requests are of one conversation, whose prefix one engine has cached first.
 #[test]
 fn hot_key() {
-    let [ours, plain] = both("hot key", |kind| {
+    let [ours, plain] = compare("hot key", |kind| {
         let mut scenario = Scenario::new(kind, teams(&[25.0, 25.0]));
         scenario.workloads[0].sessions = (1, 40);
         scenario.workloads[1].sessions = (120, 40);
         scenario
     });
-    assert!(found(&ours) >= 0.9);
+    assert!(oracle_share(&ours) >= 0.9);
     for (ours, plain) in ours.workloads.iter().zip(&plain.workloads) {
-        assert!(ours.wait(0.95) < plain.wait(0.95));
+        assert!(ours.wait_quantile(0.95) < plain.wait_quantile(0.95));
     }
 }
 
 /// Conversations go on, whose turns repeat all that came before; engines have room for a part of them.
 #[test]
 fn conversations() {
-    let [ours, plain] = both("conversations", |kind| {
+    let [ours, plain] = compare("conversations", |kind| {
         let mut scenario = Scenario::new(kind, teams(&[50.0]));
         scenario.workloads[0].sessions = (300, 40);
         scenario
     });
     // The aim is 0.9. Its generous side: the oracle only looks at engines with a free slot.
-    assert!(found(&ours) >= 0.9 && found(&plain) < 0.5);
-    assert!(ours.workloads[0].wait(0.95) < plain.workloads[0].wait(0.95));
+    assert!(oracle_share(&ours) >= 0.9 && oracle_share(&plain) < 0.5);
+    assert!(ours.workloads[0].wait_quantile(0.95) < plain.workloads[0].wait_quantile(0.95));
 }
 
 /// Checks of all engines fail at random for a minute, seven in ten, though the engines work. Without a cap most go out, and
@@ -240,13 +255,13 @@
         domain: 1.0,
         interval: Duration::ZERO,
     };
-    let [limited, plain] = both("flapping checks", scenario(EjectionLimits::default()));
-    let [unlimited, _] = both(
+    let [limited, plain] = compare("flapping checks", scenario(EjectionLimits::default()));
+    let [unlimited, _] = compare(
         "flapping checks, without ejection limits",
         scenario(unlimited),
     );
     let [limited, unlimited, plain] =
-        [limited, unlimited, plain].map(|o| o.workloads[0].wait(0.95));
+        [limited, unlimited, plain].map(|o| o.workloads[0].wait_quantile(0.95));
     println!(
         "  p95 wait {limited:.3} s with ejection limits, {unlimited:.3} s without, plain {plain:.3} s"
     );
@@ -256,33 +271,33 @@
 /// One request in ten is twenty times as long as the others.
 #[test]
 fn long_among_short() {
-    let [ours, plain] = both("long among short", |kind| {
+    let [ours, plain] = compare("long among short", |kind| {
         let mut scenario = Scenario::new(kind, Vec::new());
         let all = scenario.capacity(100) / 2.9 * 0.9;
         scenario.workloads = teams(&[all * 0.9, all * 0.1]);
         scenario.workloads[1].tokens = 2000;
         scenario
     });
-    assert!(ours.workloads[0].wait(0.95) <= plain.workloads[0].wait(0.95));
+    assert!(ours.workloads[0].wait_quantile(0.95) <= plain.workloads[0].wait_quantile(0.95));
 }
 
 /// All engines are down for twenty seconds, and callers try again and again.
 #[test]
 fn retry_storm() {
-    let [ours, plain] = both("outage of 20 s", |kind| {
+    let [ours, plain] = compare("outage of 20 s", |kind| {
         let mut scenario = Scenario::new(kind, Vec::new());
         scenario.workloads = teams(&[scenario.capacity(100) * 0.8]);
         scenario.workloads[0].max_attempts = 6;
         scenario.faults = (0..12).map(|e| (e, 40.0, 60.0, Fault::Down)).collect();
         scenario
     });
-    let good = ours.workloads[0].good as f64 / ours.workloads[0].sent as f64;
+    let good = ours.workloads[0].answered as f64 / ours.workloads[0].sent as f64;
     println!(
         "  answered {good:.3}; dispatches {}, plain {}; as before after {:.0} s, plain {:.0} s",
         ours.dispatches,
         plain.dispatches,
-        recovered(&ours.workloads[0], 60.0),
-        recovered(&plain.workloads[0], 60.0)
+        recovery_time(&ours.workloads[0], 60.0),
+        recovery_time(&plain.workloads[0], 60.0)
     );
     assert!(good > 0.98);
 }
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -148,22 +148,22 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallerStats {
     pub(crate) sent: usize,
-    pub(crate) good: usize,
+    pub(crate) answered: usize,
     pub(crate) refused: usize,
-    pub(crate) late: usize,
+    pub(crate) timed_out: usize,
     pub(crate) failed: usize,
     /// Seconds to the first token, of the good ones, sorted.
-    pub(crate) waits: Vec<f64>,
+    pub(crate) waits_s: Vec<f64>,
     /// When each good one had its first token.
-    pub(crate) times: Vec<(f64, f64)>,
+    pub(crate) first_tokens: Vec<(f64, f64)>,
     /// Slot seconds of the good ones within the counted time.
-    pub(crate) work: f64,
+    pub(crate) slot_seconds: f64,
 }
 
 impl CallerStats {
-    pub(crate) fn wait(&self, share: f64) -> f64 {
-        let at = (self.waits.len() as f64 * share) as usize;
-        self.waits.get(at).copied().unwrap_or(f64::NAN)
+    pub(crate) fn wait_quantile(&self, quantile: f64) -> f64 {
+        let at = (self.waits_s.len() as f64 * quantile) as usize;
+        self.waits_s.get(at).copied().unwrap_or(f64::NAN)
     }
 }
 
@@ -173,12 +173,12 @@
     pub(crate) workloads: Vec<CallerStats>,
     /// Dispatches, and the blocks that they found cached of all.
     pub(crate) dispatches: usize,
-    pub(crate) cached: usize,
-    pub(crate) blocks: usize,
+    pub(crate) cached_blocks: usize,
+    pub(crate) prompt_blocks: usize,
     /// The blocks that an oracle would have found, which knows each cache, at an engine with room.
-    pub(crate) possible: usize,
+    pub(crate) oracle_blocks: usize,
     /// Requests in batches and in engines' queues, at each report.
-    pub(crate) loads: Vec<(usize, usize)>,
+    pub(crate) load_samples: Vec<(usize, usize)>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -249,8 +249,8 @@
             simulation.step(event);
         }
     }
-    for got in &mut simulation.outcome.workloads {
-        got.waits.sort_by(f64::total_cmp);
+    for stats in &mut simulation.outcome.workloads {
+        stats.waits_s.sort_by(f64::total_cmp);
     }
     simulation.outcome
 }
@@ -332,7 +332,7 @@
             cached_blocks: 0,
         };
         self.jobs.push(job);
-        self.count(self.jobs.len() - 1, |got| got.sent += 1);
+        self.count(self.jobs.len() - 1, |stats| stats.sent += 1);
         self.try_job(self.jobs.len() - 1, 0);
     }
 
@@ -403,7 +403,7 @@
             self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].attempts));
         } else {
             self.jobs[id].finished = true;
-            self.count(id, |got| got.refused += 1);
+            self.count(id, |stats| stats.refused += 1);
         }
     }
 
@@ -419,7 +419,7 @@
         let router = self.jobs[id].router;
         if !again {
             self.jobs[id].finished = true;
-            self.count(id, |got| got.late += 1);
+            self.count(id, |stats| stats.timed_out += 1);
         }
         self.pump(router);
         if again {
@@ -449,7 +449,7 @@
             id, engine, usage, ..
         } = sent;
         let now = self.now;
-        self.outcome.possible += self.best_cached(id);
+        self.outcome.oracle_blocks += self.best_cached(id);
         let job = &mut self.jobs[id];
         job.engine = Some(engine);
         job.sent_s = now;
@@ -486,8 +486,8 @@
             job.started_s = self.now;
             let (first, rest) = at.run(job.session, &job.prompt, job.tokens);
             at.running.push(id);
-            self.outcome.cached += job.cached_blocks;
-            self.outcome.blocks += job.prompt.len();
+            self.outcome.cached_blocks += job.cached_blocks;
+            self.outcome.prompt_blocks += job.prompt.len();
             let dispatch = job.dispatches;
             self.after(first, Event::First(id, dispatch));
             self.after(first + rest, Event::Done(id, dispatch));
@@ -522,13 +522,13 @@
             End::Whole(Duration::from_secs_f64(first_s - sent_s), cached),
         );
         self.jobs[id].finished = true;
-        let got = &mut self.outcome.workloads[self.jobs[id].workload];
+        let stats = &mut self.outcome.workloads[self.jobs[id].workload];
         let within = self.now.min(self.scenario.duration_s) - started_s.max(self.scenario.warmup_s);
-        got.work += within.max(0.0);
-        got.times.push((first_s, first_s - arrived_s));
-        self.count(id, |got| {
-            got.good += 1;
-            got.waits.push(first_s - arrived_s);
+        stats.slot_seconds += within.max(0.0);
+        stats.first_tokens.push((first_s, first_s - arrived_s));
+        self.count(id, |stats| {
+            stats.answered += 1;
+            stats.waits_s.push(first_s - arrived_s);
         });
         self.pump(self.jobs[id].router);
     }
@@ -547,7 +547,7 @@
                     self.after(1.0, Event::Try(id, self.jobs[id].attempts));
                 } else {
                     self.jobs[id].finished = true;
-                    self.count(id, |got| got.failed += 1);
+                    self.count(id, |stats| stats.failed += 1);
                 }
             }
         }
@@ -580,7 +580,7 @@
             };
             if self.now > self.scenario.warmup_s {
                 let load = (at.running.len(), at.waiting.len());
-                self.outcome.loads.push(load);
+                self.outcome.load_samples.push(load);
             }
             let event = at.event();
             let lag = self.rng.random_range(0.5..1.5);
