--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -184,22 +184,22 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
     Arrive(usize),
-    Try(usize, u32),
-    HangUp(usize, u32),
-    First(usize, u32),
+    Retry(usize, u32),
+    Timeout(usize, u32),
+    FirstToken(usize, u32),
     Done(usize, u32),
-    Report,
-    Told(usize, Load),
-    Cached(usize, CacheEvent),
+    SendReports,
+    LoadReport(usize, Load),
+    CacheUpdate(usize, CacheEvent),
     Fault(usize, bool),
-    Check,
+    HealthCheck,
 }
 
 struct Simulation {
     scenario: Scenario,
-    base: Instant,
-    now: f64,
-    heap: BinaryHeap<Reverse<(u64, usize)>>,
+    start_time: Instant,
+    now_s: f64,
+    event_queue: BinaryHeap<Reverse<(u64, usize)>>,
     events: Vec<Option<Event>>,
     engines: Vec<Engine>,
     routers: Vec<Router>,
@@ -211,21 +211,21 @@
 
 /// Runs a scenario to its end.
 pub(crate) fn run(scenario: Scenario) -> Outcome {
-    let base = start();
+    let start_time = start();
     let routers = (0..scenario.routers)
         .map(|at| {
             Router::new(
                 at,
-                base,
+                start_time,
                 &scenario,
                 ChaCha8Rng::seed_from_u64(SEED + at as u64),
             )
         })
         .collect();
     let mut simulation = Simulation {
-        base,
-        now: 0.0,
-        heap: BinaryHeap::new(),
+        start_time,
+        now_s: 0.0,
+        event_queue: BinaryHeap::new(),
         events: Vec::new(),
         engines: (0..scenario.engines).map(|_| Engine::new()).collect(),
         routers,
@@ -242,11 +242,11 @@
         rng: ChaCha8Rng::seed_from_u64(SEED),
         scenario,
     };
-    simulation.begin();
-    while let Some(Reverse((at, event))) = simulation.heap.pop() {
-        simulation.now = at as f64 / 1e6;
+    simulation.schedule_initial();
+    while let Some(Reverse((at, event))) = simulation.event_queue.pop() {
+        simulation.now_s = at as f64 / 1e6;
         if let Some(event) = simulation.events[event].take() {
-            simulation.step(event);
+            simulation.handle(event);
         }
     }
     for stats in &mut simulation.outcome.workloads {
@@ -256,59 +256,59 @@
 }
 
 impl Simulation {
-    fn at(&self) -> Instant {
-        self.base + Duration::from_secs_f64(self.now)
+    fn instant(&self) -> Instant {
+        self.start_time + Duration::from_secs_f64(self.now_s)
     }
 
-    fn after(&mut self, seconds: f64, event: Event) {
-        let at = ((self.now + seconds) * 1e6) as u64;
-        self.heap.push(Reverse((at, self.events.len())));
+    fn schedule(&mut self, seconds: f64, event: Event) {
+        let at = ((self.now_s + seconds) * 1e6) as u64;
+        self.event_queue.push(Reverse((at, self.events.len())));
         self.events.push(Some(event));
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial(&mut self) {
         for workload in 0..self.scenario.workloads.len() {
-            self.after(0.0, Event::Arrive(workload));
+            self.schedule(0.0, Event::Arrive(workload));
         }
         for (at, (_, from, to, _)) in self.scenario.faults.clone().into_iter().enumerate() {
-            self.after(from, Event::Fault(at, true));
-            self.after(to, Event::Fault(at, false));
+            self.schedule(from, Event::Fault(at, true));
+            self.schedule(to, Event::Fault(at, false));
         }
-        self.after(0.0, Event::Report);
-        self.after(0.5, Event::Check);
+        self.schedule(0.0, Event::SendReports);
+        self.schedule(0.5, Event::HealthCheck);
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(workload) => self.arrive(workload),
-            Event::Try(job, attempt) => self.try_job(job, attempt),
-            Event::HangUp(job, attempt) => self.hang_up(job, attempt),
-            Event::First(job, dispatch) => self.first(job, dispatch),
-            Event::Done(job, dispatch) => self.done(job, dispatch),
-            Event::Report => self.report(),
-            Event::Told(engine, load) => self.told(engine, load),
-            Event::Cached(engine, event) => {
+            Event::Retry(job, attempt) => self.submit(job, attempt),
+            Event::Timeout(job, attempt) => self.time_out(job, attempt),
+            Event::FirstToken(job, dispatch) => self.handle_first_token(job, dispatch),
+            Event::Done(job, dispatch) => self.complete(job, dispatch),
+            Event::SendReports => self.send_reports(),
+            Event::LoadReport(engine, load) => self.deliver_report(engine, load),
+            Event::CacheUpdate(engine, event) => {
                 let event = &event;
                 self.routers.iter_mut().for_each(|r| r.cache(engine, event));
             }
-            Event::Fault(at, on) => self.fault(at, on),
-            Event::Check => self.check(),
+            Event::Fault(at, on) => self.apply_fault(at, on),
+            Event::HealthCheck => self.check_health(),
         }
     }
 
     fn arrive(&mut self, workload: usize) {
         let spec = self.scenario.workloads[workload].clone();
         let steps = spec.rate_steps.iter().rev();
-        let rate = steps.clone().find(|(from, _)| *from <= self.now);
+        let rate = steps.clone().find(|(from, _)| *from <= self.now_s);
         let rate = rate.map_or(0.0, |(_, rate)| *rate);
         let gap = -(1.0 - self.rng.random_range(0.0..1.0f64)).ln() / rate.max(0.1);
-        if self.now + gap < self.scenario.duration_s {
-            self.after(gap, Event::Arrive(workload));
+        if self.now_s + gap < self.scenario.duration_s {
+            self.schedule(gap, Event::Arrive(workload));
         }
         if rate == 0.0 {
             return;
         }
-        let (session, prompt) = self.prompt(workload, &spec);
+        let (session, prompt) = self.next_prompt(workload, &spec);
         let job = Job {
             workload,
             team: name(spec.team),
@@ -316,11 +316,11 @@
             tokens: (f64::from(spec.tokens) * self.rng.random_range(0.2..1.8)) as u32,
             session,
             prompt,
-            deadline: self.at() + Duration::from_secs_f64(spec.timeout_s),
+            deadline: self.instant() + Duration::from_secs_f64(spec.timeout_s),
             excluded: Vec::new(),
             finished: false,
             backing_off: false,
-            arrived_s: self.now,
+            arrived_s: self.now_s,
             attempts: 0,
             router: 0,
             engine: None,
@@ -332,12 +332,12 @@
             cached_blocks: 0,
         };
         self.jobs.push(job);
-        self.count(self.jobs.len() - 1, |stats| stats.sent += 1);
-        self.try_job(self.jobs.len() - 1, 0);
+        self.record(self.jobs.len() - 1, |stats| stats.sent += 1);
+        self.submit(self.jobs.len() - 1, 0);
     }
 
     /// Takes the next turn of one of the workload's conversations; one that is long ends and another begins.
-    fn prompt(&mut self, workload: usize, spec: &Workload) -> (u64, Vec<BlockHash>) {
+    fn next_prompt(&mut self, workload: usize, spec: &Workload) -> (u64, Vec<BlockHash>) {
         let (sessions, blocks) = spec.sessions;
         if sessions == 0 {
             return (0, Vec::new());
@@ -352,91 +352,95 @@
         (session, (0..turn * blocks).map(hash).collect())
     }
 
-    fn count<F>(&mut self, job: usize, count: F)
+    fn record<F>(&mut self, job: usize, update: F)
     where
         F: FnOnce(&mut CallerStats),
     {
         if self.jobs[job].arrived_s >= self.scenario.warmup_s {
-            count(&mut self.outcome.workloads[self.jobs[job].workload]);
+            update(&mut self.outcome.workloads[self.jobs[job].workload]);
         }
     }
 
-    fn try_job(&mut self, id: usize, attempt: u32) {
+    fn submit(&mut self, id: usize, attempt: u32) {
         if self.jobs[id].finished || self.jobs[id].attempts != attempt {
             return;
         }
         self.jobs[id].backing_off = false;
         // A router's own retry stays there; a caller's goes to any router.
         if self.jobs[id].excluded.is_empty() {
-            let router = self.address(id);
+            let router = self.pick_router(id);
             self.jobs[id].router = router;
             self.jobs[id].attempts += 1;
             let timeout_s = self.scenario.workloads[self.jobs[id].workload].timeout_s;
-            self.jobs[id].deadline = self.at() + Duration::from_secs_f64(timeout_s);
+            self.jobs[id].deadline = self.instant() + Duration::from_secs_f64(timeout_s);
             // Just after the deadline, whatever the rounding.
-            self.after(timeout_s + 1e-5, Event::HangUp(id, self.jobs[id].attempts));
+            self.schedule(timeout_s + 1e-5, Event::Timeout(id, self.jobs[id].attempts));
         }
-        let (now, router) = (self.at(), self.jobs[id].router);
+        let (now, router) = (self.instant(), self.jobs[id].router);
         match self.routers[router].arrive(now, id, &self.jobs[id]) {
-            Ok(()) => self.pump(router),
-            Err(after) => self.refused(id, after),
+            Ok(()) => self.dispatch_ready(router),
+            Err(after) => self.handle_refusal(id, after),
         }
     }
 
     /// Returns the router that a caller goes to: whoever holds a conversation keeps the address for half a minute.
-    fn address(&mut self, id: usize) -> usize {
+    fn pick_router(&mut self, id: usize) -> usize {
         let job = &self.jobs[id];
         let count = self.routers.len();
         match (job.session, job.attempts) {
             (0, _) | (_, 1..) => self.rng.random_range(0..count),
             (session, 0) => {
-                let mut rng = ChaCha8Rng::seed_from_u64((session >> 24) ^ (self.now / 30.0) as u64);
+                let mut rng =
+                    ChaCha8Rng::seed_from_u64((session >> 24) ^ (self.now_s / 30.0) as u64);
                 rng.random_range(0..count)
             }
         }
     }
 
-    fn refused(&mut self, id: usize, after: Duration) {
+    fn handle_refusal(&mut self, id: usize, after: Duration) {
         self.jobs[id].excluded.clear();
         if self.jobs[id].attempts < self.scenario.workloads[self.jobs[id].workload].max_attempts {
             self.jobs[id].backing_off = true;
-            self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].attempts));
+            self.schedule(
+                after.as_secs_f64(),
+                Event::Retry(id, self.jobs[id].attempts),
+            );
         } else {
             self.jobs[id].finished = true;
-            self.count(id, |stats| stats.refused += 1);
+            self.record(id, |stats| stats.refused += 1);
         }
     }
 
-    fn hang_up(&mut self, id: usize, attempt: u32) {
+    fn time_out(&mut self, id: usize, attempt: u32) {
         let job = &self.jobs[id];
         if job.is_stale(attempt) || job.first_token_s.is_some() {
             return;
         }
         let again = job.attempts < self.scenario.workloads[job.workload].max_attempts;
         if job.engine.is_some() {
-            self.release(id, End::Cancelled);
+            self.end_dispatch(id, End::Cancelled);
         }
         let router = self.jobs[id].router;
         if !again {
             self.jobs[id].finished = true;
-            self.count(id, |stats| stats.timed_out += 1);
+            self.record(id, |stats| stats.timed_out += 1);
         }
-        self.pump(router);
+        self.dispatch_ready(router);
         if again {
             self.jobs[id].excluded.clear();
             self.jobs[id].backing_off = true;
-            self.after(0.0, Event::Try(id, self.jobs[id].attempts));
+            self.schedule(0.0, Event::Retry(id, self.jobs[id].attempts));
         }
     }
 
     /// Dispatches what a router can, and answers those it gives up on.
-    fn pump(&mut self, router: usize) {
-        let now = self.at();
+    fn dispatch_ready(&mut self, router: usize) {
+        let now = self.instant();
         for id in self.routers[router].given_up(now) {
             let job = &self.jobs[id];
             self.routers[router].leave(job);
             if !job.finished && job.first_token_s.is_none() && now < job.deadline {
-                self.refused(id, Duration::from_secs(2));
+                self.handle_refusal(id, Duration::from_secs(2));
             }
         }
         while let Some(sent) = self.routers[router].next(now, &self.jobs) {
@@ -448,8 +452,8 @@
         let Sent {
             id, engine, usage, ..
         } = sent;
-        let now = self.now;
-        self.outcome.oracle_blocks += self.best_cached(id);
+        let now = self.now_s;
+        self.outcome.oracle_blocks += self.oracle_cached(id);
         let job = &mut self.jobs[id];
         job.engine = Some(engine);
         job.sent_s = now;
@@ -459,54 +463,54 @@
         if self.engines[engine].down {
             // A connection that is refused takes a moment.
             let dispatch = job.dispatches;
-            self.after(0.005, Event::Done(id, dispatch));
+            self.schedule(0.005, Event::Done(id, dispatch));
             return;
         }
         match usage {
             Usage::Light => self.engines[engine].waiting.push_front(id),
             Usage::Heavy => self.engines[engine].waiting.push_back(id),
         }
-        self.fill(engine);
+        self.start_waiting(engine);
     }
 
-    fn best_cached(&self, id: usize) -> usize {
+    fn oracle_cached(&self, id: usize) -> usize {
         let job = &self.jobs[id];
         let free = self.engines.iter().filter(|e| e.running.len() < SLOTS);
         let cached = free.map(|e| e.cached(job.session, job.prompt.len()));
         cached.max().unwrap_or(0)
     }
 
-    fn fill(&mut self, engine: usize) {
+    fn start_waiting(&mut self, engine: usize) {
         while self.engines[engine].running.len() < SLOTS
             && let Some(id) = self.engines[engine].waiting.pop_front()
         {
             let job = &mut self.jobs[id];
             let at = &mut self.engines[engine];
             job.cached_blocks = at.cached(job.session, job.prompt.len());
-            job.started_s = self.now;
+            job.started_s = self.now_s;
             let (first, rest) = at.run(job.session, &job.prompt, job.tokens);
             at.running.push(id);
             self.outcome.cached_blocks += job.cached_blocks;
             self.outcome.prompt_blocks += job.prompt.len();
             let dispatch = job.dispatches;
-            self.after(first, Event::First(id, dispatch));
-            self.after(first + rest, Event::Done(id, dispatch));
+            self.schedule(first, Event::FirstToken(id, dispatch));
+            self.schedule(first + rest, Event::Done(id, dispatch));
         }
     }
 
-    fn first(&mut self, id: usize, dispatch: u32) {
+    fn handle_first_token(&mut self, id: usize, dispatch: u32) {
         let job = &mut self.jobs[id];
         if job.dispatches != dispatch || job.engine.is_none() {
             return;
         }
-        job.first_token_s = Some(self.now);
-        let time = Duration::from_secs_f64(self.now - job.sent_s);
+        job.first_token_s = Some(self.now_s);
+        let time = Duration::from_secs_f64(self.now_s - job.sent_s);
         let (engine, router) = (job.engine.expect("it runs"), job.router);
-        let now = self.at();
+        let now = self.instant();
         self.routers[router].first_token(now, engine, time);
     }
 
-    fn done(&mut self, id: usize, dispatch: u32) {
+    fn complete(&mut self, id: usize, dispatch: u32) {
         let job = &self.jobs[id];
         let Some(engine) = job.engine.filter(|_| job.dispatches == dispatch) else {
             return;
@@ -514,53 +518,57 @@
         let (sent_s, cached) = (job.sent_s, job.cached_blocks);
         let Some(first_s) = job.first_token_s.filter(|_| !self.engines[engine].down) else {
             let started = self.engines[engine].running.contains(&id);
-            return self.failed(id, if started { End::Failed } else { End::Refused });
+            return self.handle_failure(id, if started { End::Failed } else { End::Refused });
         };
         let (started_s, arrived_s) = (job.started_s, job.arrived_s);
-        self.release(
+        self.end_dispatch(
             id,
             End::Whole(Duration::from_secs_f64(first_s - sent_s), cached),
         );
         self.jobs[id].finished = true;
         let stats = &mut self.outcome.workloads[self.jobs[id].workload];
-        let within = self.now.min(self.scenario.duration_s) - started_s.max(self.scenario.warmup_s);
+        let within =
+            self.now_s.min(self.scenario.duration_s) - started_s.max(self.scenario.warmup_s);
         stats.slot_seconds += within.max(0.0);
         stats.first_tokens.push((first_s, first_s - arrived_s));
-        self.count(id, |stats| {
+        self.record(id, |stats| {
             stats.answered += 1;
             stats.waits_s.push(first_s - arrived_s);
         });
-        self.pump(self.jobs[id].router);
+        self.dispatch_ready(self.jobs[id].router);
     }
 
-    fn failed(&mut self, id: usize, end: End) {
+    fn handle_failure(&mut self, id: usize, end: End) {
         let engine = self.jobs[id].engine.expect("it ran");
         self.jobs[id].first_token_s = None;
         self.jobs[id].excluded.push(name(&format!("e{engine}")));
-        match self.release(id, end) {
-            Some(after) => self.after(after.as_secs_f64(), Event::Try(id, self.jobs[id].attempts)),
+        match self.end_dispatch(id, end) {
+            Some(after) => self.schedule(
+                after.as_secs_f64(),
+                Event::Retry(id, self.jobs[id].attempts),
+            ),
             None => {
                 self.jobs[id].excluded.clear();
                 let job = &self.jobs[id];
                 if job.attempts < self.scenario.workloads[job.workload].max_attempts {
                     self.jobs[id].backing_off = true;
-                    self.after(1.0, Event::Try(id, self.jobs[id].attempts));
+                    self.schedule(1.0, Event::Retry(id, self.jobs[id].attempts));
                 } else {
                     self.jobs[id].finished = true;
-                    self.count(id, |stats| stats.failed += 1);
+                    self.record(id, |stats| stats.failed += 1);
                 }
             }
         }
-        self.pump(self.jobs[id].router);
+        self.dispatch_ready(self.jobs[id].router);
     }
 
     /// Takes a request off its engine and tells its router.
-    fn release(&mut self, id: usize, end: End) -> Option<Duration> {
+    fn end_dispatch(&mut self, id: usize, end: End) -> Option<Duration> {
         let engine = self.jobs[id].engine.take().expect("it was dispatched");
         self.engines[engine].running.retain(|j| *j != id);
         self.engines[engine].waiting.retain(|j| *j != id);
-        self.fill(engine);
-        let now = self.at();
+        self.start_waiting(engine);
+        let now = self.instant();
         let router = &mut self.routers[self.jobs[id].router];
         let again = router.end(now, engine, &self.jobs[id], end);
         if again.is_none() {
@@ -569,8 +577,8 @@
         again
     }
 
-    fn report(&mut self) {
-        let measured = self.at();
+    fn send_reports(&mut self) {
+        let measured = self.instant();
         for engine in 0..self.engines.len() {
             let at = &mut self.engines[engine];
             let load = Load {
@@ -578,32 +586,32 @@
                 waiting: at.waiting.len() as u32,
                 measured,
             };
-            if self.now > self.scenario.warmup_s {
+            if self.now_s > self.scenario.warmup_s {
                 let load = (at.running.len(), at.waiting.len());
                 self.outcome.load_samples.push(load);
             }
             let event = at.event();
             let lag = self.rng.random_range(0.5..1.5);
-            self.after(lag, Event::Told(engine, load));
+            self.schedule(lag, Event::LoadReport(engine, load));
             // One event in twenty is lost.
             if self.rng.random_range(0..20) > 0 {
-                self.after(lag, Event::Cached(engine, event));
+                self.schedule(lag, Event::CacheUpdate(engine, event));
             }
         }
-        if self.now < self.scenario.duration_s {
-            self.after(1.0, Event::Report);
+        if self.now_s < self.scenario.duration_s {
+            self.schedule(1.0, Event::SendReports);
         }
     }
 
-    fn told(&mut self, engine: usize, load: Load) {
-        let now = self.at();
+    fn deliver_report(&mut self, engine: usize, load: Load) {
+        let now = self.instant();
         for router in 0..self.routers.len() {
             self.routers[router].report(now, engine, load);
-            self.pump(router);
+            self.dispatch_ready(router);
         }
     }
 
-    fn fault(&mut self, at: usize, on: bool) {
+    fn apply_fault(&mut self, at: usize, on: bool) {
         let (engine, _, _, fault) = self.scenario.faults[at];
         let hit = &mut self.engines[engine];
         match fault {
@@ -613,22 +621,23 @@
         }
         if hit.down {
             let lost: Vec<_> = hit.running.drain(..).chain(hit.waiting.drain(..)).collect();
-            lost.into_iter().for_each(|id| self.failed(id, End::Failed));
+            lost.into_iter()
+                .for_each(|id| self.handle_failure(id, End::Failed));
         }
     }
 
-    fn check(&mut self) {
-        let now = self.at();
+    fn check_health(&mut self) {
+        let now = self.instant();
         for router in 0..self.routers.len() {
             for engine in 0..self.engines.len() {
                 let at = &self.engines[engine];
                 let fails = at.down || at.flap && self.rng.random_range(0..10) < 7;
                 self.routers[router].check(now, engine, !fails);
             }
-            self.pump(router);
+            self.dispatch_ready(router);
         }
-        if self.now < self.scenario.duration_s {
-            self.after(1.0, Event::Check);
+        if self.now_s < self.scenario.duration_s {
+            self.schedule(1.0, Event::HealthCheck);
         }
     }
 }
