--- a/tests/decisions/budget.rs
+++ b/tests/decisions/budget.rs
@@ -17,29 +17,29 @@
 const SEEDS: u64 = 6;
 
 /// Seconds of one step; also what an append takes.
-const STEP: f64 = 0.25;
+const STEP_S: f64 = 0.25;
 
 /// What each request reserves. It uses between a fifth and all of it.
-const RESERVED: u64 = 1000;
+const RESERVED_TOKENS: u64 = 1000;
 
 /// Seconds that a request runs, and that it waits for a draw before it is refused.
-const RUNS: f64 = 2.0;
-const PATIENCE: f64 = 3.0;
+const RUN_TIME_S: f64 = 2.0;
+const MAX_WAIT_S: f64 = 3.0;
 
 /// Seconds over which demand is averaged.
-const AVERAGED: f64 = 300.0;
+const DEMAND_WINDOW_S: f64 = 300.0;
 
 /// Requests a second at each router: skewed, because callers are.
-const RATES: [f64; 7] = [4.0, 2.0, 1.0, 1.0, 0.5, 0.5, 0.1];
+const RATES_PER_S: [f64; 7] = [4.0, 2.0, 1.0, 1.0, 0.5, 0.5, 0.1];
 
 /// How holdings are decided.
 #[derive(Clone, Copy, Debug)]
-enum Holds {
+enum Strategy {
     Ours(ConsistencyMode),
     /// Draws a fiftieth of the budget whenever there is too little, and keeps it.
-    Chunks,
+    FixedChunks,
     /// Has an equal part from the start. Its generous side: a top-up is shared out as well.
-    Split,
+    EqualSplit,
 }
 
 #[derive(Default)]
@@ -56,12 +56,12 @@
     requests: usize,
     refused: usize,
     /// Refused although the team's tokens that no request had reserved would have covered it.
-    wrongly: usize,
-    parted: usize,
-    parted_wrongly: usize,
+    wrongly_refused: usize,
+    partition_requests: usize,
+    partition_wrong: usize,
     /// The part of the budget that was spent when the first was refused wrongly.
-    first: Option<f64>,
-    spent: f64,
+    first_wrong_at: Option<f64>,
+    spent_share: f64,
     appends: usize,
 }
 
@@ -76,29 +76,29 @@
 
 /// Drains a budget of so many seconds' demand; from `cut` on, the first three routers miss the log for an hour, and half
 /// as much again is paid in the middle of it.
-fn drain(seed: u64, holds: Holds, seconds: f64, cut: Option<f64>) -> Tally {
-    let usual = RATES.iter().sum::<f64>() * RESERVED as f64 * 0.6;
-    let prepaid = (usual * seconds) as u64;
+fn simulate(seed: u64, strategy: Strategy, budget_s: f64, partition_at: Option<f64>) -> Tally {
+    let usual = RATES_PER_S.iter().sum::<f64>() * RESERVED_TOKENS as f64 * 0.6;
+    let prepaid = (usual * budget_s) as u64;
     let mut team = Team {
         prepaid: 0,
         undrawn: 0,
         spent: 0,
-        routers: (0..RATES.len()).map(|_| Router::default()).collect(),
+        routers: (0..RATES_PER_S.len()).map(|_| Router::default()).collect(),
         rng: ChaCha8Rng::seed_from_u64(SEED + seed),
         tally: Tally::default(),
     };
-    team.top_up(holds, prepaid);
+    team.top_up(strategy, prepaid);
     let mut now = 0.0;
-    let end = seconds * 1.5 + 4000.0;
-    while now < end && team.spent + RESERVED < team.prepaid {
-        let parted = cut.is_some_and(|cut| (cut..cut + 3600.0).contains(&now));
-        if cut.is_some_and(|cut| now == cut + 1800.0) {
-            team.top_up(holds, prepaid / 2);
+    let end = budget_s * 1.5 + 4000.0;
+    while now < end && team.spent + RESERVED_TOKENS < team.prepaid {
+        let partitioned = partition_at.is_some_and(|from| (from..from + 3600.0).contains(&now));
+        if partition_at.is_some_and(|from| now == from + 1800.0) {
+            team.top_up(strategy, prepaid / 2);
         }
-        for at in 0..RATES.len() {
-            team.step(holds, at, now, parted);
+        for at in 0..RATES_PER_S.len() {
+            team.step(strategy, at, now, partitioned);
         }
-        now += STEP;
+        now += STEP_S;
     }
     let held: u64 = team.routers.iter().map(Router::held).sum();
     assert_eq!(
@@ -106,51 +106,51 @@
         team.spent + team.undrawn + held,
         "nothing is made or lost"
     );
-    team.tally.spent = team.spent as f64 / team.prepaid as f64;
+    team.tally.spent_share = team.spent as f64 / team.prepaid as f64;
     team.tally
 }
 
 /// Drains it with several seeds: the last sliver of a budget is a matter of a few requests.
-fn drains(holds: Holds, seconds: f64, cut: Option<f64>) -> Tally {
+fn simulate_seeds(strategy: Strategy, budget_s: f64, partition_at: Option<f64>) -> Tally {
     (0..SEEDS)
-        .map(|seed| drain(seed, holds, seconds, cut))
+        .map(|seed| simulate(seed, strategy, budget_s, partition_at))
         .fold(Tally::default(), Tally::add)
 }
 
 impl Router {
     fn held(&self) -> u64 {
-        self.free + self.running.len() as u64 * RESERVED
+        self.free + self.running.len() as u64 * RESERVED_TOKENS
     }
 }
 
 impl Team {
-    fn top_up(&mut self, holds: Holds, amount: u64) {
+    fn top_up(&mut self, strategy: Strategy, amount: u64) {
         self.prepaid += amount;
         self.undrawn += amount;
-        if let Holds::Split = holds {
-            let part = amount / RATES.len() as u64;
+        if let Strategy::EqualSplit = strategy {
+            let part = amount / RATES_PER_S.len() as u64;
             self.routers.iter_mut().for_each(|r| r.free += part);
-            self.undrawn -= part * RATES.len() as u64;
+            self.undrawn -= part * RATES_PER_S.len() as u64;
         }
     }
 
-    fn step(&mut self, holds: Holds, at: usize, now: f64, parted: bool) {
-        let cut = parted && at < 3;
-        self.act(at, cut);
-        self.finish(at, now);
-        if self.rng.random_range(0.0..1.0) < RATES[at] * STEP {
-            self.routers[at].waiting.push_back(now + PATIENCE);
+    fn step(&mut self, strategy: Strategy, at: usize, now: f64, partitioned: bool) {
+        let cut_off = partitioned && at < 3;
+        self.apply_action(at, cut_off);
+        self.finish_running(at, now);
+        if self.rng.random_range(0.0..1.0) < RATES_PER_S[at] * STEP_S {
+            self.routers[at].waiting.push_back(now + MAX_WAIT_S);
             self.tally.requests += 1;
-            self.tally.parted += usize::from(parted);
+            self.tally.partition_requests += usize::from(partitioned);
         }
-        self.serve(at, now, parted);
-        self.routers[at].action = self.decide(holds, at, now, cut);
+        self.start_waiting(at, now, partitioned);
+        self.routers[at].action = self.decide(strategy, at, now, cut_off);
     }
 
     /// Lets an append of the step before take effect, as the fold does.
-    fn act(&mut self, at: usize, cut: bool) {
+    fn apply_action(&mut self, at: usize, cut_off: bool) {
         let router = &mut self.routers[at];
-        match router.action.take().filter(|_| !cut) {
+        match router.action.take().filter(|_| !cut_off) {
             Some(HoldingAction::Draw(want)) => {
                 let granted = want.0.min(self.undrawn);
                 self.undrawn -= granted;
@@ -167,117 +167,123 @@
         }
     }
 
-    fn finish(&mut self, at: usize, now: f64) {
+    fn finish_running(&mut self, at: usize, now: f64) {
         let router = &mut self.routers[at];
         while router.running.front().is_some_and(|(end, _)| *end <= now) {
             let (_, used) = router.running.pop_front().expect("there is one");
-            router.free += RESERVED - used;
+            router.free += RESERVED_TOKENS - used;
             self.spent += used;
         }
     }
 
-    fn serve(&mut self, at: usize, now: f64, parted: bool) {
+    fn start_waiting(&mut self, at: usize, now: f64, partitioned: bool) {
         let mut started = 0;
-        while self.routers[at].free >= RESERVED && !self.routers[at].waiting.is_empty() {
-            let used = self.rng.random_range(RESERVED / 5..=RESERVED);
+        while self.routers[at].free >= RESERVED_TOKENS && !self.routers[at].waiting.is_empty() {
+            let used = self.rng.random_range(RESERVED_TOKENS / 5..=RESERVED_TOKENS);
             let router = &mut self.routers[at];
             router.waiting.pop_front();
-            router.free -= RESERVED;
-            router.running.push_back((now + RUNS, used));
-            started += RESERVED;
+            router.free -= RESERVED_TOKENS;
+            router.running.push_back((now + RUN_TIME_S, used));
+            started += RESERVED_TOKENS;
         }
         let demand = &mut self.routers[at].demand;
-        *demand += (started as f64 * 0.6 / STEP - *demand) * STEP / AVERAGED;
+        *demand += (started as f64 * 0.6 / STEP_S - *demand) * STEP_S / DEMAND_WINDOW_S;
         while self.routers[at].waiting.front().is_some_and(|d| *d <= now) {
             self.routers[at].waiting.pop_front();
-            self.refuse(parted);
+            self.record_refusal(partitioned);
         }
     }
 
-    fn refuse(&mut self, parted: bool) {
+    fn record_refusal(&mut self, partitioned: bool) {
         let free: u64 = self.routers.iter().map(|r| r.free).sum();
         self.tally.refused += 1;
-        if self.undrawn + free >= RESERVED {
-            self.tally.wrongly += 1;
-            self.tally.parted_wrongly += usize::from(parted);
+        if self.undrawn + free >= RESERVED_TOKENS {
+            self.tally.wrongly_refused += 1;
+            self.tally.partition_wrong += usize::from(partitioned);
             let spent = self.spent as f64 / self.prepaid as f64;
-            self.tally.first.get_or_insert(spent);
+            self.tally.first_wrong_at.get_or_insert(spent);
         }
     }
 
-    fn decide(&self, holds: Holds, at: usize, now: f64, cut: bool) -> Option<HoldingAction> {
+    fn decide(
+        &self,
+        strategy: Strategy,
+        at: usize,
+        now: f64,
+        cut_off: bool,
+    ) -> Option<HoldingAction> {
         let router = &self.routers[at];
         // An average that began at nought a short while ago.
-        let known = 1.0 - (-(now + STEP) / AVERAGED).exp();
+        let weight = 1.0 - (-(now + STEP_S) / DEMAND_WINDOW_S).exp();
         let wanted = Tokens(if router.waiting.is_empty() {
             0
         } else {
-            RESERVED
+            RESERVED_TOKENS
         });
-        match holds {
-            Holds::Ours(lean) => Some(HoldingPolicy::new(lean).decide(&BudgetView {
+        match strategy {
+            Strategy::Ours(mode) => Some(HoldingPolicy::new(mode).decide(&BudgetView {
                 free: Tokens(router.free),
-                claimed: Tokens(router.running.len() as u64 * RESERVED),
+                claimed: Tokens(router.running.len() as u64 * RESERVED_TOKENS),
                 undrawn: Tokens(self.undrawn),
-                routers: RATES.len(),
-                demand: router.demand / known,
-                team_demand: self.routers.iter().map(|r| r.demand / known).sum(),
+                routers: RATES_PER_S.len(),
+                demand: router.demand / weight,
+                team_demand: self.routers.iter().map(|r| r.demand / weight).sum(),
                 wanted,
-                reachable: !cut,
+                reachable: !cut_off,
             })),
-            Holds::Chunks if router.free < wanted.0.max(RESERVED) => {
+            Strategy::FixedChunks if router.free < wanted.0.max(RESERVED_TOKENS) => {
                 Some(HoldingAction::Draw(Tokens(self.prepaid / 50)))
             }
-            Holds::Chunks | Holds::Split => None,
+            Strategy::FixedChunks | Strategy::EqualSplit => None,
         }
     }
 }
 
 /// Holds the aims against what was measured. Their generous side: tokens that other requests had reserved do not count
 /// as the team's, so that a refusal for want of them is not wrong.
-fn check(healthy: &Tally, parted: &Tally, short: &Tally) {
-    assert!(healthy.wrongly_share() < 0.001);
-    assert!(healthy.first.is_none_or(|spent| spent >= 0.995));
-    assert!(parted.parted_share() < 0.01);
-    assert!(short.parted_share() < 0.01);
+fn assert_aims(healthy: &Tally, partitioned: &Tally, small_budget: &Tally) {
+    assert!(healthy.wrong_share() < 0.001);
+    assert!(healthy.first_wrong_at.is_none_or(|spent| spent >= 0.995));
+    assert!(partitioned.partition_wrong_share() < 0.01);
+    assert!(small_budget.partition_wrong_share() < 0.01);
 }
 
 impl Tally {
     /// Adds up two runs, and keeps the worse of their firsts.
     fn add(self, other: Self) -> Self {
-        let first = self.first.into_iter().chain(other.first);
+        let first = self.first_wrong_at.into_iter().chain(other.first_wrong_at);
         Self {
             requests: self.requests + other.requests,
             refused: self.refused + other.refused,
-            wrongly: self.wrongly + other.wrongly,
-            parted: self.parted + other.parted,
-            parted_wrongly: self.parted_wrongly + other.parted_wrongly,
-            first: first.reduce(f64::min),
-            spent: self.spent.max(other.spent),
+            wrongly_refused: self.wrongly_refused + other.wrongly_refused,
+            partition_requests: self.partition_requests + other.partition_requests,
+            partition_wrong: self.partition_wrong + other.partition_wrong,
+            first_wrong_at: first.reduce(f64::min),
+            spent_share: self.spent_share.max(other.spent_share),
             appends: self.appends + other.appends,
         }
     }
 
-    fn wrongly_share(&self) -> f64 {
-        self.wrongly as f64 / self.requests as f64
+    fn wrong_share(&self) -> f64 {
+        self.wrongly_refused as f64 / self.requests as f64
     }
 
-    fn parted_share(&self) -> f64 {
-        self.parted_wrongly as f64 / self.parted.max(1) as f64
+    fn partition_wrong_share(&self) -> f64 {
+        self.partition_wrong as f64 / self.partition_requests.max(1) as f64
     }
 }
 
-fn show(title: &str, holds: Holds, tally: &Tally) {
+fn print_row(title: &str, strategy: Strategy, tally: &Tally) {
     println!(
-        "{title:8} {:16} requests {:6} refused {:5} wrongly {:5} ({:.3}%), parted {:.3}%, spent at the first {:.4}, in all {:.4}, appends {}",
-        format!("{holds:?}"),
+        "{title:12} {:16} requests {:6} refused {:5} wrongly refused {:5} ({:.3}%), in the partition {:.3}%, spent at the first {:.4}, in all {:.4}, appends {}",
+        format!("{strategy:?}"),
         tally.requests,
         tally.refused,
-        tally.wrongly,
-        100.0 * tally.wrongly_share(),
-        100.0 * tally.parted_share(),
-        tally.first.unwrap_or(tally.spent),
-        tally.spent,
+        tally.wrongly_refused,
+        100.0 * tally.wrong_share(),
+        100.0 * tally.partition_wrong_share(),
+        tally.first_wrong_at.unwrap_or(tally.spent_share),
+        tally.spent_share,
         tally.appends,
     );
 }
@@ -286,25 +292,25 @@
 /// tokens idle is refused wrongly; so is one at a router that is cut off from the log and has spent what it held.
 #[test]
 fn budget_runs_out() {
-    let kinds = [
-        Holds::Ours(ConsistencyMode::Strict),
-        Holds::Ours(ConsistencyMode::Available),
-        Holds::Chunks,
-        Holds::Split,
+    let strategies = [
+        Strategy::Ours(ConsistencyMode::Strict),
+        Strategy::Ours(ConsistencyMode::Available),
+        Strategy::FixedChunks,
+        Strategy::EqualSplit,
     ];
-    for holds in kinds {
-        let healthy = drains(holds, 1800.0, None);
-        let parted = drains(holds, 6.0 * 3600.0, Some(600.0));
-        let short = drains(holds, 2.0 * 3600.0, Some(600.0));
-        show("healthy", holds, &healthy);
-        show("parted", holds, &parted);
-        show("short", holds, &short);
-        match holds {
-            Holds::Ours(_) => {
-                check(&healthy, &parted, &short);
+    for strategy in strategies {
+        let healthy = simulate_seeds(strategy, 1800.0, None);
+        let partitioned = simulate_seeds(strategy, 6.0 * 3600.0, Some(600.0));
+        let small_budget = simulate_seeds(strategy, 2.0 * 3600.0, Some(600.0));
+        print_row("healthy", strategy, &healthy);
+        print_row("partition", strategy, &partitioned);
+        print_row("small budget", strategy, &small_budget);
+        match strategy {
+            Strategy::Ours(_) => {
+                assert_aims(&healthy, &partitioned, &small_budget);
             }
-            Holds::Chunks | Holds::Split => {
-                assert!(healthy.wrongly_share() > 0.1 && short.parted_share() > 0.05);
+            Strategy::FixedChunks | Strategy::EqualSplit => {
+                assert!(healthy.wrong_share() > 0.1 && small_budget.partition_wrong_share() > 0.05);
             }
         }
     }
