--- a/tests/decisions/homes.rs
+++ b/tests/decisions/homes.rs
@@ -24,7 +24,7 @@
 const ENGINES: usize = 90;
 
 /// What an engine reads in a second.
-const SPEED: f64 = 85_000.0;
+const PREFILL_TOKENS_PER_S: f64 = 85_000.0;
 
 /// A fleet whose routers tell each other nothing.
 struct Fleet {
@@ -33,13 +33,13 @@
     routers: Vec<Chooser>,
     health: Ejector,
     /// By engine, when it is through with what it was sent.
-    until: Vec<Instant>,
+    busy_until: Vec<Instant>,
     /// The first tokens that are still to come: when, where, and what their router expected.
-    coming: Vec<Coming>,
+    pending: Vec<PendingToken>,
 }
 
-struct Coming {
-    at: Instant,
+struct PendingToken {
+    due: Instant,
     router: usize,
     engine: VmId,
     sent: Instant,
@@ -70,17 +70,17 @@
             rng: rng(),
             routers,
             health,
-            until: vec![now; ENGINES],
-            coming: Vec::new(),
+            busy_until: vec![now; ENGINES],
+            pending: Vec::new(),
         }
     }
 
     /// Has any of the routers send a prompt, and returns where it went and how long its first token takes.
     fn send(&mut self, prompt: Prompt) -> (VmId, Duration) {
-        self.learn();
+        self.record_first_tokens();
         let at = self.rng.random_range(0..ROUTERS);
         let domain = name("domain-0");
-        let wish = Criteria {
+        let criteria = Criteria {
             model: None,
             prefix: &[],
             domain: &domain,
@@ -89,37 +89,39 @@
             prompt: Some(prompt),
         };
         let index = PrefixIndex::new();
-        let choice = self.routers[at].choose(self.now, &wish, &index, &self.health, &mut self.rng);
+        let choice =
+            self.routers[at].choose(self.now, &criteria, &index, &self.health, &mut self.rng);
         let choice = choice.expect("all have room");
         let sent = self.routers[at].record_prompt(self.now, &choice, &prompt);
         let (unread, expected) = sent.expect("it is known");
         let vm = choice.endpoint;
-        let place = (0..ENGINES).find(|n| engine(*n) == vm);
-        let until = &mut self.until[place.expect("one of them")];
-        *until = (*until).max(self.now) + Duration::from_secs_f64(unread as f64 / SPEED);
-        self.coming.push(Coming {
-            at: *until,
+        let position = (0..ENGINES).find(|n| engine(*n) == vm);
+        let busy_until = &mut self.busy_until[position.expect("one of them")];
+        *busy_until = (*busy_until).max(self.now)
+            + Duration::from_secs_f64(unread as f64 / PREFILL_TOKENS_PER_S);
+        self.pending.push(PendingToken {
+            due: *busy_until,
             router: at,
             engine: vm.clone(),
             sent: self.now,
             expected,
             unread,
         });
-        (vm, *until - self.now)
+        (vm, *busy_until - self.now)
     }
 
-    fn learn(&mut self) {
+    fn record_first_tokens(&mut self) {
         let now = self.now;
-        for token in self.coming.extract_if(.., |token| token.at <= now) {
-            let Coming {
-                at,
+        for token in self.pending.extract_if(.., |token| token.due <= now) {
+            let PendingToken {
+                due,
                 router,
                 engine,
                 sent,
                 expected,
                 unread,
             } = token;
-            self.routers[router].record_first_token(at, &engine, sent, expected, unread);
+            self.routers[router].record_first_token(due, &engine, sent, expected, unread);
         }
     }
 }
@@ -132,9 +134,9 @@
 /// its own choice, nearly every router had the part read anew, at another engine; callers then wait for parts that lie ready
 /// elsewhere, and the engines are busy reading.
 #[test]
-fn routers_agree_where_a_part_lies() {
+fn routers_agree_on_the_engine_of_a_shared_prefix() {
     let mut fleet = Fleet::new();
-    let mut read = Vec::new();
+    let mut engine_counts = Vec::new();
     for shared in 0..100 {
         let mut engines = IndexSet::new();
         for _ in 0..8 {
@@ -146,18 +148,18 @@
             };
             engines.insert(fleet.send(prompt).0);
         }
-        read.push(engines.len());
+        engine_counts.push(engines.len());
     }
-    let mean = read.iter().sum::<usize>() as f64 / read.len() as f64;
-    println!("a part is read at {mean} engines");
-    assert!(mean < 2.0, "a part is read at {mean} engines");
+    let mean = engine_counts.iter().sum::<usize>() as f64 / engine_counts.len() as f64;
+    println!("a shared prefix is prefilled on {mean} engines");
+    assert!(mean < 2.0, "a shared prefix is prefilled on {mean} engines");
 }
 
 /// One part is asked for two hundred times a second, eleven times as often as one engine can read the prompts. Each router
 /// sees three of these requests a second and hears of no others. With one home callers would wait for ever longer; with a
 /// home at every engine all of them would be kept from their other parts.
 #[test]
-fn a_part_in_great_demand_has_several_homes() {
+fn a_prefix_in_high_demand_is_kept_on_several_engines() {
     let mut fleet = Fleet::new();
     let mut engines = IndexSet::new();
     let mut waits = Vec::new();
@@ -176,12 +178,12 @@
         }
     }
     waits.sort();
-    let late = waits[waits.len() * 95 / 100];
-    println!("{} engines, 95% within {late:?}", engines.len());
-    assert!(late < ms(600), "95% within {late:?}");
+    let p95 = waits[waits.len() * 95 / 100];
+    println!("{} engines, 95% within {p95:?}", engines.len());
+    assert!(p95 < ms(600), "95% within {p95:?}");
     assert!(
         engines.len() <= 45,
-        "{} engines read the part",
+        "{} engines prefilled the shared prefix",
         engines.len()
     );
 }
--- a/tests/decisions/prefill.rs
+++ b/tests/decisions/prefill.rs
@@ -22,57 +22,57 @@
 const ENGINES: usize = 6;
 
 /// What an engine reads in a second.
-const SPEED: f64 = 85_000.0;
+const PREFILL_TOKENS_PER_S: f64 = 85_000.0;
 
 /// Engines that read prompts one after another, and keep the parts that they read.
 struct Engines {
-    until: Vec<Instant>,
-    parts: Vec<Vec<u64>>,
-    read_again: u64,
+    busy_until: Vec<Instant>,
+    cached_prefixes: Vec<Vec<u64>>,
+    recomputed_tokens: u64,
 }
 
 impl Engines {
     fn new(now: Instant) -> Self {
         Self {
-            until: vec![now; ENGINES],
-            parts: vec![Vec::new(); ENGINES],
-            read_again: 0,
+            busy_until: vec![now; ENGINES],
+            cached_prefixes: vec![Vec::new(); ENGINES],
+            recomputed_tokens: 0,
         }
     }
 
     /// Returns when the first token of a prompt comes.
-    fn read(&mut self, now: Instant, at: usize, prompt: &Prompt) -> Instant {
-        let known = self.parts[at].contains(&prompt.shared);
+    fn prefill(&mut self, now: Instant, at: usize, prompt: &Prompt) -> Instant {
+        let cached = self.cached_prefixes[at].contains(&prompt.shared);
         let elsewhere = self
-            .parts
+            .cached_prefixes
             .iter()
-            .any(|parts| parts.contains(&prompt.shared));
+            .any(|prefixes| prefixes.contains(&prompt.shared));
         let mut tokens = prompt.own_tokens;
-        if !known {
+        if !cached {
             tokens += prompt.shared_tokens;
-            self.parts[at].push(prompt.shared);
+            self.cached_prefixes[at].push(prompt.shared);
         }
-        if !known && elsewhere {
-            self.read_again += prompt.shared_tokens;
+        if !cached && elsewhere {
+            self.recomputed_tokens += prompt.shared_tokens;
         }
-        let time = Duration::from_secs_f64(tokens as f64 / SPEED);
-        self.until[at] = self.until[at].max(now) + time;
-        self.until[at]
+        let time = Duration::from_secs_f64(tokens as f64 / PREFILL_TOKENS_PER_S);
+        self.busy_until[at] = self.busy_until[at].max(now) + time;
+        self.busy_until[at]
     }
 }
 
 /// How prompts are placed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Placed {
+enum Placement {
     /// By the number of requests in progress.
-    ByCount,
+    ByRequestCount,
     /// By when the first token is expected.
-    ByTime,
+    ByFirstToken,
 }
 
 /// Sends a second's prompts after another, one in five of them long, and returns the 95th percentile of the short ones'
 /// waits, and how many tokens of shared parts were read again.
-fn play(placed: Placed) -> (Duration, u64) {
+fn simulate(placement: Placement) -> (Duration, u64) {
     let mut rng = rng();
     let mut now = start();
     let mut chooser = Chooser::new(&name("router-1"));
@@ -103,15 +103,15 @@
                 600
             },
         };
-        let wish = Criteria {
+        let criteria = Criteria {
             model: None,
             prefix: &[],
             domain: &name("domain-0"),
             excluded: &[],
             usage: Usage::Heavy,
-            prompt: (placed == Placed::ByTime).then_some(prompt),
+            prompt: (placement == Placement::ByFirstToken).then_some(prompt),
         };
-        let choice = chooser.choose(now, &wish, &index, &health, &mut rng);
+        let choice = chooser.choose(now, &criteria, &index, &health, &mut rng);
         let choice = choice.expect("all have room");
         let vm = choice.endpoint.clone();
         let at = vms
@@ -120,7 +120,7 @@
             .expect("one of them");
         chooser.start(now, &vm);
         let expected = chooser.record_prompt(now, &choice, &prompt);
-        let first = engines.read(now, at, &prompt);
+        let first = engines.prefill(now, at, &prompt);
         if let Some((unread, expected)) = expected {
             chooser.record_first_token(first, &vm, now, expected, unread);
         }
@@ -130,7 +130,7 @@
         }
     }
     waits.sort();
-    (waits[waits.len() * 95 / 100], engines.read_again)
+    (waits[waits.len() * 95 / 100], engines.recomputed_tokens)
 }
 
 /// One prompt in five is long. Placed by the number of requests in progress, short prompts wait behind long ones for as long
@@ -138,12 +138,14 @@
 /// long, and shared parts are read again no more often.
 #[test]
 fn short_prompts_do_not_wait_behind_long_ones() {
-    let (by_count, count_again) = play(Placed::ByCount);
-    let (by_time, time_again) = play(Placed::ByTime);
-    println!("by count {by_count:?}, {count_again} again; by time {by_time:?}, {time_again} again");
+    let (by_count, count_recomputed) = simulate(Placement::ByRequestCount);
+    let (by_time, time_recomputed) = simulate(Placement::ByFirstToken);
+    println!(
+        "by count {by_count:?}, {count_recomputed} tokens recomputed; by time {by_time:?}, {time_recomputed} tokens recomputed"
+    );
     assert!(by_time * 3 < by_count, "{by_time:?} against {by_count:?}");
     assert!(
-        time_again <= count_again,
-        "{time_again} against {count_again}"
+        time_recomputed <= count_recomputed,
+        "{time_recomputed} against {count_recomputed}"
     );
 }
--- a/tests/decisions/ration.rs
+++ b/tests/decisions/ration.rs
@@ -14,88 +14,99 @@
 use crate::start;
 
 /// The time over which demand is averaged.
-const WINDOW: Duration = Duration::from_secs(5);
+const DEMAND_WINDOW: Duration = Duration::from_secs(5);
 
 /// How long a cut from the log is thought to last.
-const CUT: Duration = Duration::from_secs(9);
+const OUTAGE: Duration = Duration::from_secs(9);
 
-/// A kind of requests: its priority, how many come a second, and what one uses.
-struct Kind {
+/// A class of requests: its priority, how many come a second, and what one uses.
+struct RequestClass {
     priority: u8,
     rate: f64,
-    size: u64,
+    tokens: u64,
 }
 
 /// Many small urgent ones, few that use most of the tokens, and many that can wait.
-const KINDS: [Kind; 3] = [
-    Kind {
+const CLASSES: [RequestClass; 3] = [
+    RequestClass {
         priority: 0,
         rate: 38.0,
-        size: 1_100,
+        tokens: 1_100,
     },
-    Kind {
+    RequestClass {
         priority: 1,
         rate: 24.0,
-        size: 12_000,
+        tokens: 12_000,
     },
-    Kind {
+    RequestClass {
         priority: 2,
         rate: 38.0,
-        size: 2_400,
+        tokens: 2_400,
     },
 ];
 
 /// How the rest of a budget is given out.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Paid {
+enum Admission {
     /// To whoever comes first.
-    InOrder,
+    FirstCome,
     /// To the most urgent first.
-    ByUrgency,
+    ByPriority,
 }
 
 /// Plays a cut in which so many seconds of demand are held, and returns the part of each priority's requests that was
 /// served.
-fn play(paid: Paid, held: f64) -> IndexMap<u8, f64> {
+fn simulate(admission: Admission, held_s: f64) -> IndexMap<u8, f64> {
     let mut rng = rng();
     let mut now = start();
-    let mut ration = PriorityDemand::new(WINDOW);
-    let demand: f64 = KINDS.iter().map(|kind| kind.rate * kind.size as f64).sum();
-    let mut left = Tokens((demand * held) as u64);
-    let warm = now + Duration::from_secs(15);
-    let end = warm + CUT;
+    let mut demand_by_priority = PriorityDemand::new(DEMAND_WINDOW);
+    let demand: f64 = CLASSES
+        .iter()
+        .map(|class| class.rate * class.tokens as f64)
+        .sum();
+    let mut left = Tokens((demand * held_s) as u64);
+    let measured_from = now + Duration::from_secs(15);
+    let end = measured_from + OUTAGE;
     let mut served: IndexMap<u8, (u32, u32)> = IndexMap::new();
     while now < end {
         now += ms(1);
-        for kind in &KINDS {
-            if !rng.random_bool(kind.rate / 1000.0) {
+        for class in &CLASSES {
+            if !rng.random_bool(class.rate / 1000.0) {
                 continue;
             }
-            let size = Tokens(rng.random_range(kind.size / 2..kind.size * 3 / 2));
-            ration.record(now, kind.priority, size);
-            if now < warm {
+            let tokens = Tokens(rng.random_range(class.tokens / 2..class.tokens * 3 / 2));
+            demand_by_priority.record(now, class.priority, tokens);
+            if now < measured_from {
                 continue;
             }
-            let rest = rest(left, &ration, now, end);
-            let pays = paid == Paid::InOrder || ration.admits(now, &rest, kind.priority, size);
-            let (asked, had) = served.entry(kind.priority).or_default();
-            *asked += 1;
-            if pays && size <= left {
-                left -= size;
-                *had += 1;
+            let remainder = remainder(left, &demand_by_priority, now, end);
+            let admitted = admission == Admission::FirstCome
+                || demand_by_priority.admits(now, &remainder, class.priority, tokens);
+            let (requested, granted) = served.entry(class.priority).or_default();
+            *requested += 1;
+            if admitted && tokens <= left {
+                left -= tokens;
+                *granted += 1;
             }
         }
     }
     served
         .into_iter()
-        .map(|(priority, (asked, had))| (priority, f64::from(had) / f64::from(asked)))
+        .map(|(priority, (requested, granted))| {
+            (priority, f64::from(granted) / f64::from(requested))
+        })
         .collect()
 }
 
-fn rest(left: Tokens, ration: &PriorityDemand, now: Instant, end: Instant) -> Remainder {
+fn remainder(
+    left: Tokens,
+    demand_by_priority: &PriorityDemand,
+    now: Instant,
+    end: Instant,
+) -> Remainder {
     Remainder {
         left,
-        demand: ration.rate(now),
+        demand: demand_by_priority.rate(now),
         lasts: end.saturating_duration_since(now),
     }
 }
@@ -104,19 +115,19 @@
 /// callers of all kinds are served for five seconds and then none, whatever hangs on it; paid by urgency, all of the most
 /// urgent are served, and nearly as many of the next as if the least urgent had not asked.
 #[test]
-fn the_most_urgent_are_served_through_a_cut() {
-    let in_order = play(Paid::InOrder, 5.0);
-    let by_urgency = play(Paid::ByUrgency, 5.0);
-    println!("in order {in_order:?}; by urgency {by_urgency:?}");
-    assert!(in_order[&0] < 0.8, "{in_order:?}");
-    assert!(by_urgency[&0] > 0.99, "{by_urgency:?}");
-    assert!(by_urgency[&1] > in_order[&1], "{by_urgency:?}");
+fn the_highest_priority_is_served_through_an_outage() {
+    let first_come = simulate(Admission::FirstCome, 5.0);
+    let by_priority = simulate(Admission::ByPriority, 5.0);
+    println!("first come {first_come:?}; by priority {by_priority:?}");
+    assert!(first_come[&0] < 0.8, "{first_come:?}");
+    assert!(by_priority[&0] > 0.99, "{by_priority:?}");
+    assert!(by_priority[&1] > first_come[&1], "{by_priority:?}");
 }
 
 /// The same cut, and enough is held for all of it. Nobody may be refused for the sake of others then.
 #[test]
-fn nobody_is_refused_where_there_is_enough() {
-    let served = play(Paid::ByUrgency, 11.0);
+fn no_request_is_refused_if_the_budget_suffices() {
+    let served = simulate(Admission::ByPriority, 11.0);
     println!("{served:?}");
     assert!(served.values().all(|part| *part > 0.98), "{served:?}");
 }
@@ -124,14 +135,14 @@
 /// A team's first request of all meets a budget that is nearly used up. Nothing is known of more urgent ones, so that it
 /// is served.
 #[test]
-fn a_lone_request_is_served() {
+fn the_first_request_of_a_team_is_admitted() {
     let now = start();
-    let mut ration = PriorityDemand::new(WINDOW);
-    ration.record(now, 2, Tokens(100));
-    let rest = Remainder {
+    let mut demand_by_priority = PriorityDemand::new(DEMAND_WINDOW);
+    demand_by_priority.record(now, 2, Tokens(100));
+    let remainder = Remainder {
         left: Tokens(100),
-        demand: ration.rate(now),
-        lasts: CUT,
+        demand: demand_by_priority.rate(now),
+        lasts: OUTAGE,
     };
-    assert!(ration.admits(now, &rest, 2, Tokens(100)));
+    assert!(demand_by_priority.admits(now, &remainder, 2, Tokens(100)));
 }
