--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,6 +1,6 @@
 //! Decisions under load, judged one by one and then by what callers receive.
 
-mod borrowers;
+mod borrower_demand;
 mod budget;
 mod call_times;
 mod capacity;
@@ -8,16 +8,16 @@
 mod each;
 mod engine;
 mod herd;
-mod homes;
 mod load;
-mod opening;
 mod owners;
 mod poison;
 mod prefill;
+mod priority_demand;
 mod queue;
-mod ration;
+mod release_limit;
 mod round_trips;
 mod router;
+mod shared_prefixes;
 mod sim;
 
 use std::time::Duration;
--- a/tests/decisions/round_trips.rs
+++ b/tests/decisions/round_trips.rs
@@ -9,22 +9,22 @@
 const PEERS: usize = 12;
 
 /// Has most peers answer after a time, and one after another time.
-fn measure(most: u64, one: u64) -> RoundTrips {
-    let mut trips = RoundTrips::default();
+fn measure(most_ms: u64, one_ms: u64) -> RoundTrips {
+    let mut round_trips = RoundTrips::default();
     for step in 0..10 {
         let now = start() + ms(500 * step);
-        trips.sample(now, ms(one));
-        (1..PEERS).for_each(|_| trips.sample(now, ms(most)));
+        round_trips.sample(now, ms(one_ms));
+        (1..PEERS).for_each(|_| round_trips.sample(now, ms(most_ms)));
     }
-    trips
+    round_trips
 }
 
 /// Guards against not noticing a VM whose link is full.
 #[test]
-fn a_vm_to_which_all_answers_come_late_is_late() {
-    let trips = measure(400, 300);
-    assert!(trips.is_late());
-    assert!(trips.shortest() >= ms(300));
+fn a_vm_is_late_if_all_answers_are_late() {
+    let round_trips = measure(400, 300);
+    assert!(round_trips.is_late());
+    assert!(round_trips.shortest() >= ms(300));
 }
 
 /// Guards against taking the delay of slow peers for the VM's own.
@@ -35,24 +35,24 @@
 
 /// Guards against a VM that counts as late for ever after a burst.
 #[test]
-fn a_vm_is_not_late_any_more_after_a_burst() {
-    let mut trips = measure(900, 900);
+fn a_vm_recovers_after_a_burst() {
+    let mut round_trips = measure(900, 900);
     let now = start() + ms(10_000);
-    (0..PEERS).for_each(|_| trips.sample(now, ms(5)));
-    assert!(!trips.is_late());
+    (0..PEERS).for_each(|_| round_trips.sample(now, ms(5)));
+    assert!(!round_trips.is_late());
 }
 
 /// Guards against a verdict from one round trip.
 #[test]
-fn one_round_trip_tells_nothing() {
-    let mut trips = RoundTrips::default();
-    trips.sample(start(), ms(900));
-    assert!(!trips.is_late());
+fn one_sample_is_not_enough() {
+    let mut round_trips = RoundTrips::default();
+    round_trips.sample(start(), ms(900));
+    assert!(!round_trips.is_late());
 }
 
 /// Guards against giving up questions that a late VM would have an answer to.
 #[test]
-fn a_late_vm_waits_longer_for_answers() {
+fn a_late_vm_has_longer_timeouts() {
     let usual = ms(100);
     assert_eq!(RoundTrips::default().timeout(usual), usual);
     assert_eq!(measure(5, 5).timeout(usual), usual);
