--- a/tests/decisions/borrower_demand.rs
+++ b/tests/decisions/borrower_demand.rs
@@ -1,4 +1,4 @@
-//! How much demand owners of a budget see behind borrowers' questions.
+//! Demand that the owners of a budget derive from the requests of borrowers.
 
 use jasmineridge::BorrowerDemand;
 use jasmineridge::Incarnation;
@@ -7,7 +7,7 @@
 
 use crate::rng;
 
-/// Guards against a believed demand that grows with each question that is asked again, of the same owner or of the next one.
+/// Guards against counting a request for a loan as new demand when it is repeated, to the same owner or to another.
 #[test]
 fn repeated_requests_add_no_demand() {
     let mut owners = [(); 3].map(|()| BorrowerDemand::default());
@@ -28,13 +28,14 @@
     }
 }
 
-/// Guards against owners that pass on what others asked them for, and see it come back as demand.
+/// Guards against counting demand in a loop: owners that borrow on behalf of their borrowers would see the requests
+/// come back as new demand.
 #[test]
 fn forwarded_requests_add_no_demand() {
     let mut owners = [(); 3].map(|()| BorrowerDemand::default());
     let mut seen = 0;
     for round in 0..300_usize {
-        // Its own callers asked for nothing more, whatever it asks for.
+        // Each owner requests growing amounts, though the total demand of its own callers stays the same.
         let borrower = Incarnation(round as u64 % 3);
         let amount = Tokens(1000 << (round / 20));
         seen += owners[(round + 1) % 3]
@@ -44,7 +45,7 @@
     assert!(seen <= 3 * 500, "{seen}");
 }
 
-/// Guards against demand that is counted anew where questions overtake each other.
+/// Guards against counting demand again when requests arrive out of order.
 #[test]
 fn an_overtaken_request_adds_no_demand() {
     let mut owner = BorrowerDemand::default();
@@ -55,7 +56,7 @@
     assert_eq!(requested, [100, 200, 0, 0]);
 }
 
-/// Guards against an owner that has just started and takes all that was ever asked for as asked for now.
+/// Guards against an owner that, just after its start, takes a borrower's total demand since its start as new demand.
 #[test]
 fn requests_before_the_start_add_no_demand() {
     let mut owner = BorrowerDemand::default();
--- a/tests/decisions/budget.rs
+++ b/tests/decisions/budget.rs
@@ -1,4 +1,5 @@
-//! A budget that runs out under seven routers, with the log at hand and cut off from three of them for an hour.
+//! A budget that runs out with seven routers, while the log is reachable and while three routers are cut off from it
+//! for an hour.
 
 use std::collections::VecDeque;
 
@@ -13,32 +14,32 @@
 
 use crate::SEED;
 
-/// Runs of each.
+/// Number of seeds per strategy.
 const SEEDS: u64 = 6;
 
-/// Seconds of one step; also what an append takes.
+/// Length of a simulation step; an append to the log takes one step.
 const STEP_S: f64 = 0.25;
 
-/// What each request reserves. It uses between a fifth and all of it.
+/// Tokens reserved by each request. It uses between a fifth of them and all.
 const RESERVED_TOKENS: u64 = 1000;
 
-/// Seconds that a request runs, and that it waits for a draw before it is refused.
+/// Time that a request runs, and the time it waits for its router to draw tokens before it is refused.
 const RUN_TIME_S: f64 = 2.0;
 const MAX_WAIT_S: f64 = 3.0;
 
-/// Seconds over which demand is averaged.
+/// Time over which demand is averaged.
 const DEMAND_WINDOW_S: f64 = 300.0;
 
-/// Requests a second at each router: skewed, because callers are.
+/// Requests per second at each router. Skewed, because traffic is not spread evenly over routers.
 const RATES_PER_S: [f64; 7] = [4.0, 2.0, 1.0, 1.0, 0.5, 0.5, 0.1];
 
-/// How holdings are decided.
+/// Strategy that decides how many tokens a router holds.
 #[derive(Clone, Copy, Debug)]
 enum Strategy {
     Ours(ConsistencyMode),
-    /// Draws a fiftieth of the budget whenever there is too little, and keeps it.
+    /// Draws a fiftieth of the budget whenever too little is free, and never returns it.
     FixedChunks,
-    /// Has an equal part from the start. Its generous side: a top-up is shared out as well.
+    /// Has an equal part from the start. A simplification in its favor: a top-up is split equally as well.
     EqualSplit,
 }
 
@@ -55,11 +56,11 @@
 struct Tally {
     requests: usize,
     refused: usize,
-    /// Refused although the team's tokens that no request had reserved would have covered it.
+    /// Refused although the team's unreserved tokens, undrawn or free at any router, would have covered it.
     wrongly_refused: usize,
     partition_requests: usize,
     partition_wrong: usize,
-    /// The part of the budget that was spent when the first was refused wrongly.
+    /// Share of the budget that was spent at the first wrong refusal.
     first_wrong_at: Option<f64>,
     spent_share: f64,
     appends: usize,
@@ -74,8 +75,8 @@
     tally: Tally,
 }
 
-/// Drains a budget of so many seconds' demand; from `cut` on, the first three routers miss the log for an hour, and half
-/// as much again is paid in the middle of it.
+/// Uses up a budget worth `budget_s` seconds of demand. From `partition_at` on, the first three routers cannot reach
+/// the log for an hour, and a top-up of half the budget arrives halfway through that hour.
 fn simulate(seed: u64, strategy: Strategy, budget_s: f64, partition_at: Option<f64>) -> Tally {
     let usual = RATES_PER_S.iter().sum::<f64>() * RESERVED_TOKENS as f64 * 0.6;
     let prepaid = (usual * budget_s) as u64;
@@ -110,7 +111,7 @@
     team.tally
 }
 
-/// Drains it with several seeds: the last sliver of a budget is a matter of a few requests.
+/// Runs the simulation with several seeds, because the last few requests decide how much of a budget is left.
 fn simulate_seeds(strategy: Strategy, budget_s: f64, partition_at: Option<f64>) -> Tally {
     (0..SEEDS)
         .map(|seed| simulate(seed, strategy, budget_s, partition_at))
@@ -147,7 +148,7 @@
         self.routers[at].action = self.decide(strategy, at, now, cut_off);
     }
 
-    /// Lets an append of the step before take effect, as the fold does.
+    /// Applies the append of the previous step, as the ledger does.
     fn apply_action(&mut self, at: usize, cut_off: bool) {
         let router = &mut self.routers[at];
         match router.action.take().filter(|_| !cut_off) {
@@ -213,7 +214,7 @@
         cut_off: bool,
     ) -> Option<HoldingAction> {
         let router = &self.routers[at];
-        // An average that began at nought a short while ago.
+        // Corrects for an average that started at zero recently.
         let weight = 1.0 - (-(now + STEP_S) / DEMAND_WINDOW_S).exp();
         let wanted = Tokens(if router.waiting.is_empty() {
             0
@@ -239,8 +240,8 @@
     }
 }
 
-/// Holds the aims against what was measured. Their generous side: tokens that other requests had reserved do not count
-/// as the team's, so that a refusal for want of them is not wrong.
+/// Checks the results against the targets. A simplification in their favor: tokens reserved by other requests do not
+/// count as available, so a refusal for lack of them is not counted as wrong.
 fn assert_aims(healthy: &Tally, partitioned: &Tally, small_budget: &Tally) {
     assert!(healthy.wrong_share() < 0.001);
     assert!(healthy.first_wrong_at.is_none_or(|spent| spent >= 0.995));
@@ -249,7 +250,7 @@
 }
 
 impl Tally {
-    /// Adds up two runs, and keeps the worse of their firsts.
+    /// Adds up two runs, and keeps the earlier of the first wrong refusals.
     fn add(self, other: Self) -> Self {
         let first = self.first_wrong_at.into_iter().chain(other.first_wrong_at);
         Self {
@@ -288,8 +289,8 @@
     );
 }
 
-/// A team's budget runs out while seven routers hold parts of it. A caller that one of them refuses though another has
-/// tokens idle is refused wrongly; so is one at a router that is cut off from the log and has spent what it held.
+/// A team's budget runs out while seven routers hold parts of it. A refusal is wrong if another router has free tokens;
+/// this includes refusals by a router that is cut off from the log and has spent its holding.
 #[test]
 fn budget_runs_out() {
     let strategies = [
--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -1,4 +1,4 @@
-//! The scenarios of load, each beside the plain router in the same run.
+//! Load scenarios, each also run with the plain router for comparison.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::sim::Workload;
 use crate::sim::run;
 
-/// Runs a scenario with both routers and prints what callers received.
+/// Runs a scenario with both kinds of router and prints what callers received.
 fn compare<F>(title: &str, scenario: F) -> [Outcome; 2]
 where
     F: Fn(Kind) -> Scenario,
@@ -61,7 +61,7 @@
     (scenario.engines * crate::engine::SLOTS) as f64 * (scenario.duration_s - scenario.warmup_s)
 }
 
-/// Returns the share of all slots' time that went into answers that callers received in time.
+/// Returns the share of total slot time that went into answers received by callers.
 fn utilization(outcome: &Outcome, scenario: &Scenario) -> f64 {
     outcome
         .workloads
@@ -71,12 +71,12 @@
         / slots(scenario)
 }
 
-/// Returns the cached blocks found, of those that an oracle would have.
+/// Returns the cached blocks that were found, as a share of those found by the oracle.
 fn oracle_share(outcome: &Outcome) -> f64 {
     outcome.cached_blocks as f64 / outcome.oracle_blocks as f64
 }
 
-/// Returns how many run and how many wait at an endpoint on average.
+/// Returns the mean numbers of running and waiting requests per endpoint.
 fn mean_load(outcome: &Outcome) -> (f64, f64) {
     let count = outcome.load_samples.len() as f64;
     let running: usize = outcome.load_samples.iter().map(|l| l.0).sum();
@@ -84,7 +84,7 @@
     (running as f64 / count, waiting as f64 / count)
 }
 
-/// Returns Jain's index of the groups' parts: 1 when all are alike.
+/// Returns Jain's fairness index of the workloads' slot time: 1 if all have the same.
 fn jain(outcome: &Outcome) -> f64 {
     let parts: Vec<_> = outcome.workloads.iter().map(|g| g.slot_seconds).collect();
     let sum: f64 = parts.iter().sum();
@@ -98,8 +98,8 @@
     named.map(|((t, a), r)| Workload::new(t, a, *r)).collect()
 }
 
-/// Returns the seconds after `from` until callers that arrive wait for less than a second again, and go on to, nineteen in
-/// twenty of each five seconds.
+/// Returns the seconds after `from` until waits have recovered: from then on, in each interval of five seconds,
+/// nineteen in twenty of the callers that arrive wait for less than a second.
 fn recovery_time(stats: &CallerStats, from: f64) -> f64 {
     let mut last = from;
     for bin in 0..40 {
@@ -118,15 +118,15 @@
     last - from
 }
 
-/// Four teams send three times what the engines can do, one of them half of it, for minutes. Without decisions each
-/// request waits until its caller hangs up; with them those that are served are served soon, and the others told at once.
+/// Four teams send three times the capacity of the engines for minutes, and one of them sends half of it. Without the
+/// decisions each request waits until its caller hangs up; with them requests are served soon or refused at once.
 #[test]
 fn overload() {
     let base = Scenario::new(Kind::Ours, Vec::new());
     let all = base.capacity(100) * 3.0;
     let scenario = |kind| Scenario::new(kind, teams(&[all / 2.0, all / 6.0, all / 6.0, all / 6.0]));
     let [ours, plain] = compare("3x overload", scenario);
-    // The aim is 0.95. Its generous side: all requests are of one kind, and an engine works as fast with all slots full.
+    // The target is 0.95. Simplifications in its favor: all requests are alike, and full batches do not slow an engine.
     assert!(
         utilization(&ours, &base) >= 0.95 && utilization(&ours, &base) > utilization(&plain, &base)
     );
@@ -138,7 +138,7 @@
     assert!(ours.workloads[1].wait_quantile(0.95) < plain.workloads[1].wait_quantile(0.95));
 }
 
-/// One client account sends twice what the engines can do while another sends little. The other must not notice.
+/// One client account sends twice the capacity of the engines. Another sends little and must not be affected.
 #[test]
 fn hot_caller() {
     let all = Scenario::new(Kind::Ours, Vec::new()).capacity(100);
@@ -149,8 +149,8 @@
         alone.workloads[1].wait_quantile(0.95),
         ours.workloads[1].wait_quantile(0.95),
     );
-    // The aim of 1.2 is missed for the first token: an engine whose slots are full must end one first, about an eighth of
-    // a second with answers of two seconds. It is met for the whole answer.
+    // The target of 1.2 is missed for the first token: an engine whose slots are full must finish a request first,
+    // which takes about an eighth of a second with answers of two seconds. It is met for the whole answer.
     println!(
         "  modest account's p95 wait: {:.2} times what it is alone, aim 1.2: MISSED",
         beside / before
@@ -166,7 +166,7 @@
     );
 }
 
-/// One engine in twelve becomes five times as slow. Requests that go there start late.
+/// One engine in twelve becomes five times as slow, and requests sent to it start late.
 #[test]
 fn slow_endpoint() {
     let scenario = |factor| {
@@ -183,12 +183,12 @@
         well.workloads[0].wait_quantile(0.99),
         ours.workloads[0].wait_quantile(0.99),
     );
-    // Its generous side: the twenty seconds in which routers find out are not counted.
+    // A simplification in its favor: the first twenty seconds, when routers detect the slow engine, are not counted.
     println!("  p99 {:.2} times what it was, aim 1.15", with / before);
     assert!(with < before * 1.15 && plain.workloads[0].wait_quantile(0.99) > before * 1.15);
 }
 
-/// Ten times the usual load comes for ten seconds. Those that are refused come back, together if they are told the same.
+/// Ten times the usual load arrives for ten seconds. Refused callers come back, all at once if they get the same delay.
 #[test]
 fn burst() {
     let [ours, plain] = compare("burst of 10x for 10 s", |kind| {
@@ -209,7 +209,7 @@
     assert!(good > other * 1.1);
 }
 
-/// Half of all requests are of one conversation, whose prefix one engine has cached first.
+/// Half of all requests belong to one conversation, whose prefix is cached by one engine at first.
 #[test]
 fn hot_key() {
     let [ours, plain] = compare("hot key", |kind| {
@@ -224,7 +224,7 @@
     }
 }
 
-/// Conversations go on, whose turns repeat all that came before; engines have room for a part of them.
+/// Conversations in which each turn repeats all previous turns; the engines' caches hold only a part of them.
 #[test]
 fn conversations() {
     let [ours, plain] = compare("conversations", |kind| {
@@ -232,13 +232,13 @@
         scenario.workloads[0].sessions = (300, 40);
         scenario
     });
-    // The aim is 0.9. Its generous side: the oracle only looks at engines with a free slot.
+    // The target is 0.9. A simplification in its favor: the oracle only considers engines with a free slot.
     assert!(oracle_share(&ours) >= 0.9 && oracle_share(&plain) < 0.5);
     assert!(ours.workloads[0].wait_quantile(0.95) < plain.workloads[0].wait_quantile(0.95));
 }
 
-/// Checks of all engines fail at random for a minute, seven in ten, though the engines work. Without a cap most go out, and
-/// those that are left can't do the work.
+/// Health checks of all engines fail at random for a minute, seven in ten, although the engines work. Without ejection
+/// limits most engines are ejected, and the others cannot carry the load.
 #[test]
 fn flapping() {
     let scenario = |limits: EjectionLimits| {
@@ -281,7 +281,7 @@
     assert!(ours.workloads[0].wait_quantile(0.95) <= plain.workloads[0].wait_quantile(0.95));
 }
 
-/// All engines are down for twenty seconds, and callers try again and again.
+/// All engines are down for twenty seconds, and callers retry.
 #[test]
 fn retry_storm() {
     let [ours, plain] = compare("outage of 20 s", |kind| {
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Decisions under load, judged one by one and then by what callers receive.
+//! Tests of decisions under load: first each decision on its own, then what callers receive.
 
 mod borrower_demand;
 mod budget;
@@ -26,7 +26,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The seed of all scenarios.
+/// Seed of all scenarios.
 const SEED: u64 = 0x6a61_736d;
 
 #[expect(clippy::disallowed_methods, reason = "any instant serves as a start")]
--- a/tests/decisions/prefill.rs
+++ b/tests/decisions/prefill.rs
@@ -1,4 +1,4 @@
-//! Long prompts among short ones, judged by what the callers of the short ones wait.
+//! Long prompts among short ones: how long the short ones wait for their first token.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,10 +21,10 @@
 
 const ENGINES: usize = 6;
 
-/// What an engine reads in a second.
+/// Prefill speed of an engine.
 const PREFILL_TOKENS_PER_S: f64 = 85_000.0;
 
-/// Engines that read prompts one after another, and keep the parts that they read.
+/// Engines that process prompts one at a time and cache the shared prefixes.
 struct Engines {
     busy_until: Vec<Instant>,
     cached_prefixes: Vec<Vec<u64>>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns when the first token of a prompt comes.
+    /// Queues a prompt at an engine and returns the time of its first token.
     fn prefill(&mut self, now: Instant, at: usize, prompt: &Prompt) -> Instant {
         let cached = self.cached_prefixes[at].contains(&prompt.shared);
         let elsewhere = self
@@ -61,17 +61,17 @@
     }
 }
 
-/// How prompts are placed.
+/// How an endpoint is chosen for a prompt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Placement {
     /// By the number of requests in progress.
     ByRequestCount,
-    /// By when the first token is expected.
+    /// By the time at which the first token is expected.
     ByFirstToken,
 }
 
-/// Sends a second's prompts after another, one in five of them long, and returns the 95th percentile of the short ones'
-/// waits, and how many tokens of shared parts were read again.
+/// Sends 4000 prompts, one in five of them long. Returns the 95th percentile of the short ones' waits, and the number
+/// of shared prefix tokens that were computed although another engine had them cached.
 fn simulate(placement: Placement) -> (Duration, u64) {
     let mut rng = rng();
     let mut now = start();
@@ -133,9 +133,9 @@
     (waits[waits.len() * 95 / 100], engines.recomputed_tokens)
 }
 
-/// One prompt in five is long. Placed by the number of requests in progress, short prompts wait behind long ones for as long
-/// as those take to read; placed by when their first token is expected, nearly all of them find an engine that reads nothing
-/// long, and shared parts are read again no more often.
+/// One prompt in five is long. Placed by the number of requests in progress, short prompts wait until long ones before
+/// them are processed. Placed by when their first token is expected, nearly all of them find an engine without a long
+/// prompt, and shared prefixes are recomputed no more often.
 #[test]
 fn short_prompts_do_not_wait_behind_long_ones() {
     let (by_count, count_recomputed) = simulate(Placement::ByRequestCount);
--- a/tests/decisions/priority_demand.rs
+++ b/tests/decisions/priority_demand.rs
@@ -1,4 +1,4 @@
-//! Budgets that run out before there is more, judged by which callers are served.
+//! Budgets that run out before there is more: which priorities are served.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,20 +13,20 @@
 use crate::rng;
 use crate::start;
 
-/// The time over which demand is averaged.
+/// Time over which demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_secs(5);
 
-/// How long a cut from the log is thought to last.
+/// Expected length of a log outage.
 const OUTAGE: Duration = Duration::from_secs(9);
 
-/// A class of requests: its priority, how many come a second, and what one uses.
+/// Requests of one priority: how many arrive per second, and the mean number of tokens that each uses.
 struct RequestClass {
     priority: u8,
     rate: f64,
     tokens: u64,
 }
 
-/// Many small urgent ones, few that use most of the tokens, and many that can wait.
+/// Many small requests of the highest priority, fewer that use most of the tokens, and many of the lowest priority.
 const CLASSES: [RequestClass; 3] = [
     RequestClass {
         priority: 0,
@@ -45,17 +45,17 @@
     },
 ];
 
-/// How the rest of a budget is given out.
+/// How the remaining budget is spent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Admission {
-    /// To whoever comes first.
+    /// In order of arrival.
     FirstCome,
-    /// To the most urgent first.
+    /// Higher priorities first.
     ByPriority,
 }
 
-/// Plays a cut in which so many seconds of demand are held, and returns the part of each priority's requests that was
-/// served.
+/// Simulates a log outage in which `held_s` seconds of demand are held. Returns the served share of requests for each
+/// priority.
 fn simulate(admission: Admission, held_s: f64) -> IndexMap<u8, f64> {
     let mut rng = rng();
     let mut now = start();
@@ -111,9 +111,9 @@
     }
 }
 
-/// All routers are cut off from the log for nine seconds and hold what they need for five. In the order in which they come,
-/// callers of all kinds are served for five seconds and then none, whatever hangs on it; paid by urgency, all of the most
-/// urgent are served, and nearly as many of the next as if the least urgent had not asked.
+/// All routers are cut off from the log for nine seconds and hold five seconds of demand. In order of arrival, requests
+/// of all priorities are served for five seconds and none afterwards, however urgent. By priority, all requests of the
+/// highest priority are served, and nearly as many of the next as if the lowest had not asked.
 #[test]
 fn the_highest_priority_is_served_through_an_outage() {
     let first_come = simulate(Admission::FirstCome, 5.0);
@@ -124,7 +124,7 @@
     assert!(by_priority[&1] > first_come[&1], "{by_priority:?}");
 }
 
-/// The same cut, and enough is held for all of it. Nobody may be refused for the sake of others then.
+/// The same outage, with enough held for all of it. No request may be refused in favor of others then.
 #[test]
 fn no_request_is_refused_if_the_budget_suffices() {
     let served = simulate(Admission::ByPriority, 11.0);
@@ -132,8 +132,8 @@
     assert!(served.values().all(|part| *part > 0.98), "{served:?}");
 }
 
-/// A team's first request of all meets a budget that is nearly used up. Nothing is known of more urgent ones, so that it
-/// is served.
+/// A team's first request meets a budget that is nearly used up. No demand of higher priorities is known, so it is
+/// served.
 #[test]
 fn the_first_request_of_a_team_is_admitted() {
     let now = start();
--- a/tests/decisions/round_trips.rs
+++ b/tests/decisions/round_trips.rs
@@ -1,14 +1,14 @@
-//! A VM whose link or processor is late, and peers that are.
+//! Detection of a VM whose own link or processor is slow, as opposed to slow peers.
 
 use jasmineridge::RoundTrips;
 
 use crate::ms;
 use crate::start;
 
-/// How many peers answer each half second.
+/// Number of peers that answer each half second.
 const PEERS: usize = 12;
 
-/// Has most peers answer after a time, and one after another time.
+/// Samples round trips of `most_ms` for all peers but one, and of `one_ms` for that one.
 fn measure(most_ms: u64, one_ms: u64) -> RoundTrips {
     let mut round_trips = RoundTrips::default();
     for step in 0..10 {
@@ -19,7 +19,7 @@
     round_trips
 }
 
-/// Guards against not noticing a VM whose link is full.
+/// Guards against missing that a VM's own link is saturated.
 #[test]
 fn a_vm_is_late_if_all_answers_are_late() {
     let round_trips = measure(400, 300);
@@ -27,13 +27,13 @@
     assert!(round_trips.shortest() >= ms(300));
 }
 
-/// Guards against taking the delay of slow peers for the VM's own.
+/// Guards against attributing the delay of slow peers to the VM.
 #[test]
 fn slow_peers_do_not_make_a_vm_late() {
     assert!(!measure(900, 5).is_late());
 }
 
-/// Guards against a VM that counts as late for ever after a burst.
+/// Guards against a VM that stays late for ever after a burst.
 #[test]
 fn a_vm_recovers_after_a_burst() {
     let mut round_trips = measure(900, 900);
@@ -42,7 +42,7 @@
     assert!(!round_trips.is_late());
 }
 
-/// Guards against a verdict from one round trip.
+/// Guards against deciding on a single round trip.
 #[test]
 fn one_sample_is_not_enough() {
     let mut round_trips = RoundTrips::default();
@@ -50,7 +50,7 @@
     assert!(!round_trips.is_late());
 }
 
-/// Guards against giving up questions that a late VM would have an answer to.
+/// Guards against giving up on answers that a late VM would still receive.
 #[test]
 fn a_late_vm_has_longer_timeouts() {
     let usual = ms(100);
--- a/tests/decisions/shared_prefixes.rs
+++ b/tests/decisions/shared_prefixes.rs
@@ -1,4 +1,4 @@
-//! Shared parts of prompts in a large fleet, judged by how many engines read them and how long first tokens take.
+//! Shared prompt prefixes in a large fleet: how many engines compute them and how long first tokens take.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,18 +23,18 @@
 const ROUTERS: usize = 60;
 const ENGINES: usize = 90;
 
-/// What an engine reads in a second.
+/// Prefill speed of an engine.
 const PREFILL_TOKENS_PER_S: f64 = 85_000.0;
 
-/// A fleet whose routers tell each other nothing.
+/// A fleet whose routers exchange no information.
 struct Fleet {
     now: Instant,
     rng: ChaCha8Rng,
     routers: Vec<Chooser>,
     health: Ejector,
-    /// By engine, when it is through with what it was sent.
+    /// For each engine, the time at which it has processed all prompts sent to it.
     busy_until: Vec<Instant>,
-    /// The first tokens that are still to come: when, where, and what their router expected.
+    /// First tokens that are still to come.
     pending: Vec<PendingToken>,
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Has any of the routers send a prompt, and returns where it went and how long its first token takes.
+    /// Sends a prompt from a random router. Returns the chosen engine and the time to the first token.
     fn send(&mut self, prompt: Prompt) -> (VmId, Duration) {
         self.record_first_tokens();
         let at = self.rng.random_range(0..ROUTERS);
@@ -130,9 +130,9 @@
     name(&format!("engine-{at}"))
 }
 
-/// Sixty routers before ninety engines, each asked for the same parts. Where each looked for a part's home among engines of
-/// its own choice, nearly every router had the part read anew, at another engine; callers then wait for parts that lie ready
-/// elsewhere, and the engines are busy reading.
+/// Sixty routers and ninety engines, with the same prefixes in use at all routers. When each router chose among engines
+/// of its own, nearly every router had a prefix computed again on another engine: callers waited for prefixes that were
+/// cached elsewhere, and the engines were busy with prefill.
 #[test]
 fn routers_agree_on_the_engine_of_a_shared_prefix() {
     let mut fleet = Fleet::new();
@@ -155,9 +155,9 @@
     assert!(mean < 2.0, "a shared prefix is prefilled on {mean} engines");
 }
 
-/// One part is asked for two hundred times a second, eleven times as often as one engine can read the prompts. Each router
-/// sees three of these requests a second and hears of no others. With one home callers would wait for ever longer; with a
-/// home at every engine all of them would be kept from their other parts.
+/// One prefix is in use two hundred times a second, eleven times as often as one engine can process the prompts. Each
+/// router sees three of these requests a second and does not know about the others. On one engine, waits would grow
+/// without bound; with it on every engine, all engines would be kept from serving their other prefixes.
 #[test]
 fn a_prefix_in_high_demand_is_kept_on_several_engines() {
     let mut fleet = Fleet::new();
@@ -171,7 +171,7 @@
             own_tokens: 5000,
         };
         let (vm, wait) = fleet.send(prompt);
-        // Within five seconds the demand is known.
+        // Routers have measured the demand after five seconds.
         if n >= 1000 {
             engines.insert(vm);
             waits.push(wait);
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -1,4 +1,5 @@
-//! A small discrete-event simulation of callers, routers and engines, for the decisions alone: no process, no network.
+//! A small discrete-event simulation of callers, routers and engines. It covers the decisions only: no processes and no
+//! network.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -29,19 +30,19 @@
 use crate::router::Sent;
 use crate::start;
 
-/// Requests of one kind.
+/// Requests of one client account.
 #[derive(Clone, Debug)]
 pub(crate) struct Workload {
     pub(crate) team: &'static str,
     pub(crate) account: &'static str,
-    /// Requests a second from these times on.
+    /// Start times in seconds, and the requests per second from each of them on.
     pub(crate) rate_steps: Vec<(f64, f64)>,
     pub(crate) tokens: u32,
-    /// How many conversations there are, and how many blocks each adds a turn; none without.
+    /// Number of concurrent conversations, and blocks that each turn adds to the prompt. If zero, prompts are empty.
     pub(crate) sessions: (u64, usize),
-    /// Seconds that a caller waits for the first token.
+    /// Time that a caller waits for the first token.
     pub(crate) timeout_s: f64,
-    /// How often a caller tries.
+    /// Number of times that a caller tries in total.
     pub(crate) max_attempts: u32,
     pub(crate) limits: Limits,
 }
@@ -66,14 +67,14 @@
     }
 }
 
-/// What goes wrong with one engine, from when to when.
+/// Fault of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
-    /// It takes so many times as long.
+    /// Requests take longer by this factor.
     Slow(f64),
-    /// It fails all that it has and gets.
+    /// All running, waiting and new requests fail.
     Down,
-    /// Its checks fail at random, though it works.
+    /// Health checks fail at random, although the engine works.
     Flap,
 }
 
@@ -85,7 +86,7 @@
     pub(crate) engines: usize,
     pub(crate) workloads: Vec<Workload>,
     pub(crate) faults: Vec<(usize, f64, f64, Fault)>,
-    /// When callers stop, in seconds. What comes before `warmup_s` is not counted.
+    /// Time at which callers stop. Requests that arrive before `warmup_s` are not counted.
     pub(crate) duration_s: f64,
     pub(crate) warmup_s: f64,
 }
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Returns how many requests a second of `tokens` tokens the engines can run.
+    /// Returns the capacity of all engines in requests per second, with `tokens` tokens in each answer.
     pub(crate) fn capacity(&self, tokens: u32) -> f64 {
         (self.engines * SLOTS) as f64 / nominal(0, tokens)
     }
@@ -120,14 +121,14 @@
     pub(crate) prompt: Vec<BlockHash>,
     pub(crate) deadline: Instant,
     pub(crate) excluded: Vec<VmId>,
-    /// Whether its caller has its final answer or hung up.
+    /// Whether its caller has its final answer or has given up.
     finished: bool,
-    /// Whether its caller waits before it tries again.
+    /// Whether its caller waits before the next attempt.
     backing_off: bool,
     arrived_s: f64,
     pub(crate) attempts: u32,
     router: usize,
-    /// Where it runs or waits, since when, and the number of that dispatch.
+    /// The engine where it runs or waits. `sent_s` and `started_s` are the times of its last dispatch and start.
     engine: Option<usize>,
     sent_s: f64,
     started_s: f64,
@@ -138,7 +139,7 @@
 }
 
 impl Job {
-    /// Returns whether the caller no longer waits for this try.
+    /// Returns whether the caller no longer waits for this attempt.
     pub(crate) fn is_stale(&self, attempt: u32) -> bool {
         self.finished || self.backing_off || self.attempts != attempt
     }
@@ -152,11 +153,11 @@
     pub(crate) refused: usize,
     pub(crate) timed_out: usize,
     pub(crate) failed: usize,
-    /// Seconds to the first token, of the good ones, sorted.
+    /// Seconds to the first token of answered requests, sorted.
     pub(crate) waits_s: Vec<f64>,
-    /// When each good one had its first token.
+    /// Time of the first token of each answered request, and the seconds that its caller waited for it.
     pub(crate) first_tokens: Vec<(f64, f64)>,
-    /// Slot seconds of the good ones within the counted time.
+    /// Slot time of answered requests after the warm-up.
     pub(crate) slot_seconds: f64,
 }
 
@@ -167,17 +168,17 @@
     }
 }
 
-/// What a run gave.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) workloads: Vec<CallerStats>,
-    /// Dispatches, and the blocks that they found cached of all.
+    /// Dispatches; blocks found in caches, out of all prompt blocks.
     pub(crate) dispatches: usize,
     pub(crate) cached_blocks: usize,
     pub(crate) prompt_blocks: usize,
-    /// The blocks that an oracle would have found, which knows each cache, at an engine with room.
+    /// Blocks that an oracle would have found that knows all caches and chooses among the engines with a free slot.
     pub(crate) oracle_blocks: usize,
-    /// Requests in batches and in engines' queues, at each report.
+    /// Running and waiting requests of an engine, at each load report.
     pub(crate) load_samples: Vec<(usize, usize)>,
 }
 
@@ -336,7 +337,8 @@
         self.submit(self.jobs.len() - 1, 0);
     }
 
-    /// Takes the next turn of one of the workload's conversations; one that is long ends and another begins.
+    /// Returns the next turn of one of the workload's conversations. A conversation ends after eight turns and a new
+    /// one replaces it.
     fn next_prompt(&mut self, workload: usize, spec: &Workload) -> (u64, Vec<BlockHash>) {
         let (sessions, blocks) = spec.sessions;
         if sessions == 0 {
@@ -366,14 +368,14 @@
             return;
         }
         self.jobs[id].backing_off = false;
-        // A router's own retry stays there; a caller's goes to any router.
+        // Retries by a router stay at that router; retries by a caller go to any router.
         if self.jobs[id].excluded.is_empty() {
             let router = self.pick_router(id);
             self.jobs[id].router = router;
             self.jobs[id].attempts += 1;
             let timeout_s = self.scenario.workloads[self.jobs[id].workload].timeout_s;
             self.jobs[id].deadline = self.instant() + Duration::from_secs_f64(timeout_s);
-            // Just after the deadline, whatever the rounding.
+            // Just after the deadline, regardless of rounding.
             self.schedule(timeout_s + 1e-5, Event::Timeout(id, self.jobs[id].attempts));
         }
         let (now, router) = (self.instant(), self.jobs[id].router);
@@ -383,7 +385,7 @@
         }
     }
 
-    /// Returns the router that a caller goes to: whoever holds a conversation keeps the address for half a minute.
+    /// Returns the router that a caller connects to. Callers in a conversation keep their router for half a minute.
     fn pick_router(&mut self, id: usize) -> usize {
         let job = &self.jobs[id];
         let count = self.routers.len();
@@ -433,7 +435,7 @@
         }
     }
 
-    /// Dispatches what a router can, and answers those it gives up on.
+    /// Refuses the requests that the router's queue has evicted, and dispatches all that the router can place.
     fn dispatch_ready(&mut self, router: usize) {
         let now = self.instant();
         for id in self.routers[router].given_up(now) {
@@ -461,7 +463,7 @@
         job.dispatches += 1;
         self.outcome.dispatches += 1;
         if self.engines[engine].down {
-            // A connection that is refused takes a moment.
+            // A refused connection takes a moment.
             let dispatch = job.dispatches;
             self.schedule(0.005, Event::Done(id, dispatch));
             return;
@@ -562,7 +564,7 @@
         self.dispatch_ready(self.jobs[id].router);
     }
 
-    /// Takes a request off its engine and tells its router.
+    /// Removes a request from its engine and reports the end to its router. Returns the delay before a retry.
     fn end_dispatch(&mut self, id: usize, end: End) -> Option<Duration> {
         let engine = self.jobs[id].engine.take().expect("it was dispatched");
         self.engines[engine].running.retain(|j| *j != id);
@@ -593,7 +595,7 @@
             let event = at.event();
             let lag = self.rng.random_range(0.5..1.5);
             self.schedule(lag, Event::LoadReport(engine, load));
-            // One event in twenty is lost.
+            // One cache event in twenty is lost.
             if self.rng.random_range(0..20) > 0 {
                 self.schedule(lag, Event::CacheUpdate(engine, event));
             }
