--- a/tests/decisions/budget.rs
+++ b/tests/decisions/budget.rs
@@ -105,7 +105,7 @@
     assert_eq!(
         team.prepaid,
         team.spent + team.undrawn + held,
-        "nothing is made or lost"
+        "no tokens are created or lost"
     );
     team.tally.spent_share = team.spent as f64 / team.prepaid as f64;
     team.tally
@@ -171,7 +171,7 @@
     fn finish_running(&mut self, at: usize, now: f64) {
         let router = &mut self.routers[at];
         while router.running.front().is_some_and(|(end, _)| *end <= now) {
-            let (_, used) = router.running.pop_front().expect("there is one");
+            let (_, used) = router.running.pop_front().expect("a request is running");
             router.free += RESERVED_TOKENS - used;
             self.spent += used;
         }
@@ -276,7 +276,7 @@
 
 fn print_row(title: &str, strategy: Strategy, tally: &Tally) {
     println!(
-        "{title:12} {:16} requests {:6} refused {:5} wrongly refused {:5} ({:.3}%), in the partition {:.3}%, spent at the first {:.4}, in all {:.4}, appends {}",
+        "{title:12} {:16} requests {:6} refused {:5} wrongly refused {:5} ({:.3}%), in the partition {:.3}%, spent at the first wrong refusal {:.4}, in total {:.4}, appends {}",
         format!("{strategy:?}"),
         tally.requests,
         tally.refused,
--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -29,10 +29,10 @@
         let (running, waiting) = mean_load(&outcome);
         if outcome.prompt_blocks > 0 {
             let hit = outcome.cached_blocks as f64;
-            println!("  {kind:?} found {:.3} of all blocks cached, {:.3} of an oracle's", hit / outcome.prompt_blocks as f64, hit / outcome.oracle_blocks as f64);
+            println!("  {kind:?} found {:.3} of all blocks cached, {:.3} of the oracle's", hit / outcome.prompt_blocks as f64, hit / outcome.oracle_blocks as f64);
         }
         println!(
-            "  {kind:?} in all {:.3}, Jain {:.3}; at an endpoint {running:.1} running, {waiting:.2} waiting",
+            "  {kind:?} total {:.3}, Jain {:.3}; per endpoint {running:.1} running, {waiting:.2} waiting",
             utilization(&outcome, &scenario),
             jain(&outcome)
         );
@@ -133,7 +133,7 @@
     assert!(jain(&ours) > 0.99 && jain(&ours) > jain(&plain));
     assert!(
         ours.workloads.iter().all(|g| g.timed_out == 0),
-        "the others are told at once"
+        "requests are refused before their deadlines"
     );
     assert!(ours.workloads[1].wait_quantile(0.95) < plain.workloads[1].wait_quantile(0.95));
 }
@@ -152,11 +152,11 @@
     // The target of 1.2 is missed for the first token: an engine whose slots are full must finish a request first,
     // which takes about an eighth of a second with answers of two seconds. It is met for the whole answer.
     println!(
-        "  modest account's p95 wait: {:.2} times what it is alone, aim 1.2: MISSED",
+        "  modest account's p95 wait: {:.2} times that without the hot account, target 1.2: MISSED",
         beside / before
     );
     println!(
-        "  with the answer's 2 s: {:.2} times",
+        "  with 2 s for the whole answer: {:.2} times",
         (beside + 2.0) / (before + 2.0)
     );
     assert!((beside + 2.0) / (before + 2.0) < 1.2);
@@ -184,7 +184,10 @@
         ours.workloads[0].wait_quantile(0.99),
     );
     // A simplification in its favor: the first twenty seconds, when routers detect the slow engine, are not counted.
-    println!("  p99 {:.2} times what it was, aim 1.15", with / before);
+    println!(
+        "  p99 {:.2} times that without the fault, target 1.15",
+        with / before
+    );
     assert!(with < before * 1.15 && plain.workloads[0].wait_quantile(0.99) > before * 1.15);
 }
 
@@ -202,7 +205,7 @@
     let [good, other] =
         [&ours, &plain].map(|o| o.workloads[0].answered as f64 / o.workloads[0].sent as f64);
     println!(
-        "  answered {good:.3}, plain {other:.3}; as before after {:.0} s, plain {:.0} s",
+        "  answered {good:.3}, plain {other:.3}; recovered after {:.0} s, plain {:.0} s",
         recovery_time(&ours.workloads[0], 50.0),
         recovery_time(&plain.workloads[0], 50.0)
     );
@@ -293,7 +296,7 @@
     });
     let good = ours.workloads[0].answered as f64 / ours.workloads[0].sent as f64;
     println!(
-        "  answered {good:.3}; dispatches {}, plain {}; as before after {:.0} s, plain {:.0} s",
+        "  answered {good:.3}; dispatches {}, plain {}; recovered after {:.0} s, plain {:.0} s",
         ours.dispatches,
         plain.dispatches,
         recovery_time(&ours.workloads[0], 60.0),
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -29,7 +29,10 @@
 /// Seed of all scenarios.
 const SEED: u64 = 0x6a61_736d;
 
-#[expect(clippy::disallowed_methods, reason = "any instant serves as a start")]
+#[expect(
+    clippy::disallowed_methods,
+    reason = "the tests start at an arbitrary instant"
+)]
 fn start() -> Instant {
     Instant::now()
 }
@@ -43,7 +46,7 @@
     T: std::str::FromStr,
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("a name")
+    text.parse().expect("a valid name")
 }
 
 fn ms(count: u64) -> Duration {
--- a/tests/decisions/prefill.rs
+++ b/tests/decisions/prefill.rs
@@ -112,12 +112,12 @@
             prompt: (placement == Placement::ByFirstToken).then_some(prompt),
         };
         let choice = chooser.choose(now, &criteria, &index, &health, &mut rng);
-        let choice = choice.expect("all have room");
+        let choice = choice.expect("all endpoints have room");
         let vm = choice.endpoint.clone();
         let at = vms
             .iter()
             .position(|other| *other == vm)
-            .expect("one of them");
+            .expect("the chosen endpoint exists");
         chooser.start(now, &vm);
         let expected = chooser.record_prompt(now, &choice, &prompt);
         let first = engines.prefill(now, at, &prompt);
--- a/tests/decisions/shared_prefixes.rs
+++ b/tests/decisions/shared_prefixes.rs
@@ -91,12 +91,12 @@
         let index = PrefixIndex::new();
         let choice =
             self.routers[at].choose(self.now, &criteria, &index, &self.health, &mut self.rng);
-        let choice = choice.expect("all have room");
+        let choice = choice.expect("all endpoints have room");
         let sent = self.routers[at].record_prompt(self.now, &choice, &prompt);
-        let (unread, expected) = sent.expect("it is known");
+        let (unread, expected) = sent.expect("the endpoint is known");
         let vm = choice.endpoint;
         let position = (0..ENGINES).find(|n| engine(*n) == vm);
-        let busy_until = &mut self.busy_until[position.expect("one of them")];
+        let busy_until = &mut self.busy_until[position.expect("the chosen endpoint exists")];
         *busy_until = (*busy_until).max(self.now)
             + Duration::from_secs_f64(unread as f64 / PREFILL_TOKENS_PER_S);
         self.pending.push(PendingToken {
--- a/tests/decisions/sim.rs
+++ b/tests/decisions/sim.rs
@@ -507,7 +507,7 @@
         }
         job.first_token_s = Some(self.now_s);
         let time = Duration::from_secs_f64(self.now_s - job.sent_s);
-        let (engine, router) = (job.engine.expect("it runs"), job.router);
+        let (engine, router) = (job.engine.expect("the job runs"), job.router);
         let now = self.instant();
         self.routers[router].first_token(now, engine, time);
     }
@@ -541,7 +541,7 @@
     }
 
     fn handle_failure(&mut self, id: usize, end: End) {
-        let engine = self.jobs[id].engine.expect("it ran");
+        let engine = self.jobs[id].engine.expect("the job was dispatched");
         self.jobs[id].first_token_s = None;
         self.jobs[id].excluded.push(name(&format!("e{engine}")));
         match self.end_dispatch(id, end) {
@@ -566,7 +566,7 @@
 
     /// Removes a request from its engine and reports the end to its router. Returns the delay before a retry.
     fn end_dispatch(&mut self, id: usize, end: End) -> Option<Duration> {
-        let engine = self.jobs[id].engine.take().expect("it was dispatched");
+        let engine = self.jobs[id].engine.take().expect("the job was dispatched");
         self.engines[engine].running.retain(|j| *j != id);
         self.engines[engine].waiting.retain(|j| *j != id);
         self.start_waiting(engine);
