--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,6 +1,6 @@
-//! Decisions under load, judged one by one and then by what callers receive.
+//! Tests of decisions under load: first each decision on its own, then what callers receive.
 
-mod borrowers;
+mod borrower_demand;
 mod budget;
 mod call_times;
 mod capacity;
@@ -8,16 +8,16 @@
 mod components;
 mod engine;
 mod herd;
-mod homes;
 mod load;
-mod opening;
 mod owners;
 mod poison;
 mod prefill;
+mod priority_demand;
 mod queue;
-mod ration;
+mod release_limit;
 mod round_trips;
 mod router;
+mod shared_prefixes;
 mod sim;
 
 use std::time::Duration;
@@ -26,10 +26,13 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The seed of all scenarios.
+/// Seed of all scenarios.
 const SEED: u64 = 0x6a61_736d;
 
-#[expect(clippy::disallowed_methods, reason = "any instant serves as a start")]
+#[expect(
+    clippy::disallowed_methods,
+    reason = "the tests start at an arbitrary instant"
+)]
 fn start() -> Instant {
     Instant::now()
 }
@@ -43,7 +46,7 @@
     T: std::str::FromStr,
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("a name")
+    text.parse().expect("a valid name")
 }
 
 fn ms(count: u64) -> Duration {
--- a/tests/decisions/router.rs
+++ b/tests/decisions/router.rs
@@ -28,7 +28,7 @@
 use crate::engine::SLOTS;
 use crate::name;
 use crate::sim::Job;
-use crate::sim::Setup;
+use crate::sim::Scenario;
 
 /// Maximum queue length of either router.
 const QUEUE_LIMIT: usize = 1000;
@@ -76,7 +76,7 @@
 }
 
 impl Router {
-    pub(crate) fn new(index: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+    pub(crate) fn new(index: usize, now: Instant, setup: &Scenario, rng: ChaCha8Rng) -> Self {
         match setup.kind {
             RouterKind::Library => {
                 Self::Library(Box::new(LibraryRouter::new(index, now, setup, rng)))
@@ -99,7 +99,7 @@
                 Err(Duration::from_secs(1))
             }
             Self::Baseline(baseline) => {
-                baseline.queue.push_back((id, job.tries));
+                baseline.queue.push_back((id, job.attempts));
                 Ok(())
             }
         }
@@ -210,17 +210,17 @@
 }
 
 impl LibraryRouter {
-    fn new(index: usize, now: Instant, setup: &Setup, rng: ChaCha8Rng) -> Self {
+    fn new(index: usize, now: Instant, setup: &Scenario, rng: ChaCha8Rng) -> Self {
         let router: VmId = name(&format!("r{index}"));
         let mut chooser = Chooser::new(&router);
-        let mut ejector = Ejector::new(setup.caps);
+        let mut ejector = Ejector::new(setup.ejection_limits);
         let vms: Vec<VmId> = (0..setup.engines).map(|e| name(&format!("e{e}"))).collect();
         for (engine, vm) in vms.iter().enumerate() {
             chooser.put(vm, &domain(engine), &[], SLOTS as u32 * 2);
             ejector.put(now, vm, &domain(engine));
         }
         let limits = setup
-            .groups
+            .workloads
             .iter()
             .map(|g| (name(g.account), AccountLimit::new(now, &g.limits)))
             .collect();
@@ -294,7 +294,7 @@
         let sample = match end {
             End::Completed(time, cached) => {
                 self.index
-                    .record_served(&vm, &job.prompt, job.thought, cached);
+                    .record_served(&vm, &job.prompt, job.expected_cached, cached);
                 Sample::Answered(time)
             }
             End::Failed | End::Refused => {
@@ -317,7 +317,7 @@
 
 impl BaselineRouter {
     fn next_dispatch(&mut self, jobs: &[Job]) -> Option<Dispatch> {
-        let abandoned = |(id, tries): &(usize, u32)| jobs[*id].gone(*tries);
+        let abandoned = |(id, tries): &(usize, u32)| jobs[*id].is_stale(*tries);
         while self.queue.front().is_some_and(abandoned) {
             self.queue.pop_front();
         }
