--- a/src/ledger/budget.rs
+++ b/src/ledger/budget.rs
@@ -11,7 +11,7 @@
 use crate::ledger::rules::Rule;
 use crate::ledger::rules::holds;
 use crate::ledger::team::TeamState;
-use crate::ledger::verdict::Void;
+use crate::ledger::verdict::VoidReason;
 use crate::tokens::Tokens;
 
 impl Ledger {
@@ -20,9 +20,9 @@
         id: &TopUpId,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         if !self.topups.insert(digest(team, id)) && holds(Rule::TopUp) {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
         let team = self.teams.entry(team.clone()).or_default();
         // A sum that does not fit stays at the largest amount: a typing error must not stop the fleet.
@@ -53,7 +53,7 @@
         router: Incarnation,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         self.take_free(router, team, amount)?;
         if let Some(team) = self.teams.get_mut(team) {
             team.held -= amount;
@@ -72,15 +72,15 @@
         team: &TeamId,
         amount: Tokens,
         number: u64,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         if !self.is_open(to) {
-            return Err(Void::Absent);
+            return Err(VoidReason::Absent);
         }
-        let lender = self.routers.get(&router).ok_or(Void::Closed)?;
+        let lender = self.routers.get(&router).ok_or(VoidReason::Closed)?;
         if number <= lender.lent {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
-        let (_, name, _) = self.teams.get_full(team).ok_or(Void::Holding)?;
+        let (_, name, _) = self.teams.get_full(team).ok_or(VoidReason::Holding)?;
         let name = name.clone();
         self.take_free(router, team, amount)?;
         if let Some(lender) = self.routers.get_mut(&router) {
@@ -98,13 +98,13 @@
         router: Incarnation,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<(), Void> {
-        let router = self.routers.get_mut(&router).ok_or(Void::Closed)?;
+    ) -> Result<(), VoidReason> {
+        let router = self.routers.get_mut(&router).ok_or(VoidReason::Closed)?;
         let holding = router
             .holdings
             .get_mut(team)
             .filter(|holding| holding.free >= amount)
-            .ok_or(Void::Holding)?;
+            .ok_or(VoidReason::Holding)?;
         holding.free -= amount;
         router.tidy(team);
         Ok(())
@@ -117,7 +117,7 @@
         router: Incarnation,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<TeamId, Void> {
+    ) -> Result<TeamId, VoidReason> {
         let held = self
             .routers
             .get_mut(&router)
@@ -125,11 +125,11 @@
         let Some((_, name, holding)) = held else {
             return match amount {
                 Tokens::ZERO => Ok(team.clone()),
-                _ => Err(Void::Holding),
+                _ => Err(VoidReason::Holding),
             };
         };
         if holding.free < amount && holds(Rule::Reserve) {
-            return Err(Void::Holding);
+            return Err(VoidReason::Holding);
         }
         holding.free -= amount;
         holding.claimed += amount;
--- a/src/ledger/fold.rs
+++ b/src/ledger/fold.rs
@@ -31,7 +31,7 @@
 use crate::ledger::team::Holding;
 use crate::ledger::team::TeamState;
 use crate::ledger::verdict::Verdict;
-use crate::ledger::verdict::Void;
+use crate::ledger::verdict::VoidReason;
 
 /// A whole checkpoint, as the ledger knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -163,11 +163,11 @@
         verdicts
     }
 
-    fn admit_offset(&self, offset: Offset) -> Result<(), Void> {
+    fn admit_offset(&self, offset: Offset) -> Result<(), VoidReason> {
         match offset.cmp(&self.next) {
-            Ordering::Less => Err(Void::Sequence),
+            Ordering::Less => Err(VoidReason::Sequence),
             Ordering::Equal => Ok(()),
-            Ordering::Greater => Err(Void::Gap),
+            Ordering::Greater => Err(VoidReason::Gap),
         }
     }
 
@@ -175,12 +175,12 @@
     ///
     /// An append whose answer was lost is repeated, and both copies may land; one that was slow may land behind a
     /// later one. Counting only the next number makes each batch count once and in order.
-    fn admit(&mut self, batch: &Batch) -> Result<(), Void> {
+    fn admit(&mut self, batch: &Batch) -> Result<(), VoidReason> {
         match self.routers.get_mut(&batch.router) {
             None => self.admit_first(batch),
-            Some(router) if router.closed && holds(Rule::Closed) => Err(Void::Closed),
+            Some(router) if router.closed && holds(Rule::Closed) => Err(VoidReason::Closed),
             Some(router) if !router.follows(batch.sequence) && holds(Rule::Sequence) => {
-                Err(Void::Sequence)
+                Err(VoidReason::Sequence)
             }
             Some(router) => {
                 router.sequence = batch.sequence;
@@ -195,12 +195,12 @@
     /// A late copy of a dead incarnation's first batch would bring it back to life, draw for it and close the router
     /// that runs on its VM now. So the numbers of closed incarnations are never forgotten: at a few hundred restarts a
     /// day they cost a few kilobytes a day.
-    fn admit_first(&mut self, batch: &Batch) -> Result<(), Void> {
+    fn admit_first(&mut self, batch: &Batch) -> Result<(), VoidReason> {
         if self.gone.contains(&batch.router) {
-            return Err(Void::Closed);
+            return Err(VoidReason::Closed);
         }
         if batch.sequence != Sequence(1) {
-            return Err(Void::Sequence);
+            return Err(VoidReason::Sequence);
         }
         let Some(Record::Open {
             vm,
@@ -208,7 +208,7 @@
             address,
         }) = batch.records.first()
         else {
-            return Err(Void::Closed);
+            return Err(VoidReason::Closed);
         };
         let state = RouterState::new(vm, domain, address, self.at);
         self.routers.insert(batch.router, state);
@@ -236,12 +236,12 @@
         // A router may close itself, and what follows in the same batch is as void as what follows in the log: a draw
         // behind it would be held by no one who could give it back.
         if !self.is_open(router) && holds(Rule::Closed) {
-            return Verdict::Void(Void::Closed);
+            return Verdict::Void(VoidReason::Closed);
         }
         let done = match record {
             Record::Draw { team, want } => return Verdict::Granted(self.draw(router, team, *want)),
             Record::Open { vm, .. } if opens => self.open(offset, router, vm),
-            Record::Open { .. } => Err(Void::Repeated),
+            Record::Open { .. } => Err(VoidReason::Repeated),
             Record::TopUp { id, team, amount } => self.top_up(id, team, *amount),
             Record::Return { team, amount } => self.give_back(router, team, *amount),
             Record::Lend {
@@ -275,14 +275,14 @@
     ///
     /// A paused writer's announcement may land late, or be of a state that was old when it was written. Either stream may
     /// then have let go of its parts or of the records behind it; so both its ends must lie behind those of the newest.
-    fn checkpointed(&mut self, as_of: Offset, first: Offset) -> Result<(), Void> {
+    fn checkpointed(&mut self, as_of: Offset, first: Offset) -> Result<(), VoidReason> {
         if let Some(newest) = self.checkpoint
             && (as_of <= newest.as_of || first <= newest.first)
         {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
         if as_of > self.next {
-            return Err(Void::Gap);
+            return Err(VoidReason::Gap);
         }
         let at = self.at;
         self.checkpoint = Some(Checkpointed { as_of, first, at });
--- a/src/ledger/membership.rs
+++ b/src/ledger/membership.rs
@@ -8,7 +8,7 @@
 use crate::ledger::fold::Ledger;
 use crate::ledger::rules::Rule;
 use crate::ledger::rules::holds;
-use crate::ledger::verdict::Void;
+use crate::ledger::verdict::VoidReason;
 
 impl Ledger {
     /// Ends what ran on the VM before: a VM runs one router, so an earlier incarnation there is dead.
@@ -17,7 +17,7 @@
         offset: Offset,
         router: Incarnation,
         vm: &VmId,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         let earlier: Vec<_> = self
             .routers
             .iter()
@@ -34,10 +34,10 @@
     ///
     /// What it held free goes back to the teams at once. What its open claims reserve may have been used, wholly or in
     /// part, and whoever bears that is charged for all of it, since no one can tell how much.
-    pub(super) fn close(&mut self, offset: Offset, router: Incarnation) -> Result<(), Void> {
-        let state = self.routers.get_mut(&router).ok_or(Void::Absent)?;
+    pub(super) fn close(&mut self, offset: Offset, router: Incarnation) -> Result<(), VoidReason> {
+        let state = self.routers.get_mut(&router).ok_or(VoidReason::Absent)?;
         if state.closed {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
         state.closed = true;
         let claims = std::mem::take(&mut state.claims);
@@ -56,22 +56,26 @@
         offset: Offset,
         router: Incarnation,
         pool: &PoolId,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         if let Some((leader, _)) = self.leaders.get(pool)
             && *leader != router
             && self.is_open(*leader)
         {
-            return Err(Void::ClaimedBy(*leader));
+            return Err(VoidReason::ClaimedBy(*leader));
         }
         self.leaders.insert(pool.clone(), (router, offset));
         Ok(())
     }
 
     /// Notes an endpoint's death; two routers that saw the same one count it once.
-    pub(super) fn crash(&mut self, request: Fingerprint, endpoint: &VmId) -> Result<(), Void> {
+    pub(super) fn crash(
+        &mut self,
+        request: Fingerprint,
+        endpoint: &VmId,
+    ) -> Result<(), VoidReason> {
         let crashes = self.crashes.entry(request).or_default();
         if !crashes.note(endpoint) {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
         self.expiry.crash(self.at, request);
         Ok(())
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -50,4 +50,4 @@
 pub use team::Holding;
 pub use team::TeamState;
 pub use verdict::Verdict;
-pub use verdict::Void;
+pub use verdict::VoidReason;
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -12,14 +12,14 @@
 use crate::ledger::record::Outcome;
 use crate::ledger::rules::Rule;
 use crate::ledger::rules::holds;
-use crate::ledger::verdict::Void;
+use crate::ledger::verdict::VoidReason;
 use crate::tokens::Tokens;
 
 /// How often a request may run again after its bill. Without a bound, one paid key would buy any number of answers.
 pub(crate) const MAX_RERUNS: u8 = 3;
 
 impl Ledger {
-    pub(super) fn claim(&mut self, router: Incarnation, claim: &Claim) -> Result<(), Void> {
+    pub(super) fn claim(&mut self, router: Incarnation, claim: &Claim) -> Result<(), VoidReason> {
         self.check_claim(router, claim)?;
         let team = self.reserve(router, &claim.team, claim.reserved)?;
         let key = self.touch(&claim.key);
@@ -41,37 +41,37 @@
     }
 
     /// Decides whether a request may be claimed.
-    fn check_claim(&self, router: Incarnation, claim: &Claim) -> Result<(), Void> {
+    fn check_claim(&self, router: Incarnation, claim: &Claim) -> Result<(), VoidReason> {
         // What stood in the log behind `seen` may be forgotten by now, a refusal or a bill of this request among it.
         if claim.seen < self.expiry.horizon {
-            return Err(Void::Refused);
+            return Err(VoidReason::Refused);
         }
         let Some(key) = self.keys.get(&claim.key) else {
             return Ok(());
         };
         if key.request.is_some_and(|request| request != claim.request) {
-            return Err(Void::OtherRequest);
+            return Err(VoidReason::OtherRequest);
         }
         if let Some(held) = &key.claim
             && holds(Rule::First)
         {
             return match self.is_open(held.router) {
-                true if held.router == router => Err(Void::Mine),
-                true => Err(Void::ClaimedBy(held.router)),
+                true if held.router == router => Err(VoidReason::Mine),
+                true => Err(VoidReason::ClaimedBy(held.router)),
                 // Whoever had it is closed, and closing settled its reservation; only a request that may not run
                 // twice keeps such a claim.
-                false => Err(Void::Unknown),
+                false => Err(VoidReason::Unknown),
             };
         }
         let once = key.once || !claim.idempotent;
         if key.bill.is_some() && holds(Rule::Billed) && (once || key.reruns >= MAX_RERUNS) {
-            return Err(Void::Billed);
+            return Err(VoidReason::Billed);
         }
         if key.orphaned && once && holds(Rule::Orphan) {
-            return Err(Void::Unknown);
+            return Err(VoidReason::Unknown);
         }
         match key.refused {
-            Some((offset, attempt)) if refused(claim, offset, attempt) => Err(Void::Refused),
+            Some((offset, attempt)) if refused(claim, offset, attempt) => Err(VoidReason::Refused),
             _ => Ok(()),
         }
     }
@@ -82,7 +82,7 @@
         offset: Offset,
         router: Incarnation,
         key: &RequestKey,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
         self.unreserve(&claim, claim.reserved);
         let state = self.touch(key);
@@ -106,7 +106,7 @@
         offset: Offset,
         key: &RequestKey,
         attempt: Attempt,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         if let Some(state) = self.keys.get(key) {
             self.check_refuse(state)?;
         }
@@ -115,15 +115,15 @@
         Ok(())
     }
 
-    fn check_refuse(&self, key: &KeyState) -> Result<(), Void> {
+    fn check_refuse(&self, key: &KeyState) -> Result<(), VoidReason> {
         if key.bill.is_some() && holds(Rule::BillRefusal) {
-            return Err(Void::Stands);
+            return Err(VoidReason::Stands);
         }
         if key.orphaned && holds(Rule::OrphanRefusal) {
-            return Err(Void::Unknown);
+            return Err(VoidReason::Unknown);
         }
         match &key.claim {
-            Some(_) if holds(Rule::ClaimRefusal) => Err(Void::Stands),
+            Some(_) if holds(Rule::ClaimRefusal) => Err(VoidReason::Stands),
             _ => Ok(()),
         }
     }
@@ -135,7 +135,7 @@
         key: &RequestKey,
         amount: Tokens,
         outcome: &Outcome,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
         // More than was reserved is never charged: what was reserved is all that the team was known to have.
         let amount = match holds(Rule::Cap) {
@@ -178,12 +178,16 @@
         self.remember(offset, key, claim.idempotent);
     }
 
-    fn take_claim(&mut self, router: Incarnation, key: &RequestKey) -> Result<ClaimState, Void> {
+    fn take_claim(
+        &mut self,
+        router: Incarnation,
+        key: &RequestKey,
+    ) -> Result<ClaimState, VoidReason> {
         let claim = self
             .keys
             .get_mut(key)
             .and_then(|state| state.claim.take_if(|claim| claim.router == router))
-            .ok_or(Void::NoClaim)?;
+            .ok_or(VoidReason::NoClaim)?;
         if let Some(router) = self.routers.get_mut(&router) {
             router.claims.swap_remove(key);
         }
--- a/src/ledger/verdict.rs
+++ b/src/ledger/verdict.rs
@@ -11,12 +11,12 @@
     /// A draw took effect with this amount, which may be less than was wanted, or nothing.
     Granted(Tokens),
     /// It changed nothing.
-    Void(Void),
+    Void(VoidReason),
 }
 
 /// Why a record changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Void {
+pub enum VoidReason {
     /// Its writer's incarnation is closed.
     Closed,
     /// Its batch was folded before, or does not follow the writer's last one.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -196,7 +196,7 @@
 pub use ledger::Schedule;
 pub use ledger::TeamState;
 pub use ledger::Verdict;
-pub use ledger::Void;
+pub use ledger::VoidReason;
 pub use ledger::decode;
 pub use ledger::decode_part;
 pub use ledger::encode;
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -11,7 +11,7 @@
 use crate::ledger::Claim;
 use crate::ledger::Record;
 use crate::ledger::Verdict;
-use crate::ledger::Void;
+use crate::ledger::VoidReason;
 use crate::router::core::Core;
 use crate::router::core::Ticket;
 use crate::router::problem::Problem;
@@ -129,7 +129,7 @@
         self.appender.push(record, Ticket::Release(id));
     }
 
-    fn claim_void(&mut self, now: Instant, id: RequestId, void: Void) {
+    fn claim_void(&mut self, now: Instant, id: RequestId, void: VoidReason) {
         info!(event = "claim-void", request = %id, cause = ?void);
         let request = &self.requests[&id];
         match &request.state {
@@ -144,15 +144,15 @@
         }
     }
 
-    fn claim_lost(&mut self, now: Instant, id: RequestId, void: Void) {
+    fn claim_lost(&mut self, now: Instant, id: RequestId, void: VoidReason) {
         self.free_endpoint(now, id);
         match void {
-            Void::Holding => self.fund(now, id),
-            Void::Refused => {
+            VoidReason::Holding => self.fund(now, id),
+            VoidReason::Refused => {
                 let detail = "an earlier refusal of this request reached the ledger first";
                 self.refuse(now, id, ProblemKind::Overloaded, detail);
             }
-            Void::Closed | Void::Sequence => {
+            VoidReason::Closed | VoidReason::Sequence => {
                 let detail = "this router was taken for dead by the others";
                 self.refuse(now, id, ProblemKind::NotServing, detail);
             }
--- a/src/router/ledger_stream.rs
+++ b/src/router/ledger_stream.rs
@@ -14,7 +14,7 @@
 use crate::ledger::Ledger;
 use crate::ledger::Record;
 use crate::ledger::Verdict;
-use crate::ledger::Void;
+use crate::ledger::VoidReason;
 use crate::ledger::decode;
 use crate::router::appender::Appender;
 use crate::router::core::Core;
@@ -260,5 +260,5 @@
 
 /// Returns whether a batch is a copy of one that was already folded.
 fn is_duplicate(verdicts: &[Verdict]) -> bool {
-    verdicts.first() == Some(&Verdict::Void(Void::Sequence))
+    verdicts.first() == Some(&Verdict::Void(VoidReason::Sequence))
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -24,7 +24,7 @@
 use jasmineridge::Tokens;
 use jasmineridge::TopUpId;
 use jasmineridge::Verdict;
-use jasmineridge::Void;
+use jasmineridge::VoidReason;
 use jasmineridge::decode;
 use jasmineridge::encode;
 use quickcheck::Gen;
@@ -188,7 +188,10 @@
             let verdicts = ledger.apply(Offset(at as u64), *time, batch);
             let mut counts = false;
             for (record, verdict) in batch.records.iter().zip(verdicts) {
-                counts |= !matches!(verdict, Verdict::Void(Void::Sequence | Void::Closed));
+                counts |= !matches!(
+                    verdict,
+                    Verdict::Void(VoidReason::Sequence | VoidReason::Closed)
+                );
                 if matches!(verdict, Verdict::Void(_)) {
                     continue;
                 }
@@ -374,7 +377,7 @@
     ledger.apply(Offset(2), 3 * DAY, &batch(2, 2, vec![]));
     assert!(ledger.router(Incarnation(1)).is_none());
     let verdicts = ledger.apply(Offset(3), 3 * DAY, &open(1, "vm-1", vec![]));
-    assert_eq!(verdicts, [Verdict::Void(Void::Closed)]);
+    assert_eq!(verdicts, [Verdict::Void(VoidReason::Closed)]);
     assert!(ledger.is_open(Incarnation(2)));
 }
 
@@ -389,7 +392,7 @@
     ledger.apply(Offset(2), 9 * DAY, &batch(2, 2, vec![]));
     let again = batch(2, 3, vec![claim("k", 2)]);
     let verdicts = ledger.apply(Offset(3), 9 * DAY, &again);
-    assert_eq!(verdicts, [Verdict::Void(Void::Unknown)]);
+    assert_eq!(verdicts, [Verdict::Void(VoidReason::Unknown)]);
 }
 
 /// A router stops for hours with a request in its socket, and goes on where it was. Meanwhile the request was refused
@@ -411,7 +414,10 @@
         3 * DAY,
         &batch(1, 2, vec![claim("k", 0), claim("k", 2)]),
     );
-    assert_eq!(verdicts, [Verdict::Void(Void::Refused), Verdict::Accepted]);
+    assert_eq!(
+        verdicts,
+        [Verdict::Void(VoidReason::Refused), Verdict::Accepted]
+    );
 }
 
 /// A router that errs bills or releases what another one runs. That one's caller would get its answer unbilled, and
@@ -429,7 +435,10 @@
     let verdicts = ledger.apply(Offset(1), 0, &open(2, "vm-2", vec![bill, release]));
     assert_eq!(
         verdicts[1..],
-        [Verdict::Void(Void::NoClaim), Verdict::Void(Void::NoClaim)]
+        [
+            Verdict::Void(VoidReason::NoClaim),
+            Verdict::Void(VoidReason::NoClaim)
+        ]
     );
     assert!(ledger.key(&key("k")).is_some_and(|k| k.claim.is_some()));
 }
@@ -441,7 +450,7 @@
     let mut ledger = Ledger::default();
     let before = ledger.clone();
     let verdicts = ledger.apply(Offset(1), 0, &open(1, "vm-1", vec![]));
-    assert_eq!(verdicts, [Verdict::Void(Void::Gap)]);
+    assert_eq!(verdicts, [Verdict::Void(VoidReason::Gap)]);
     ledger.skip(Offset(1));
     assert_eq!(ledger, before);
 }
