--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -134,7 +134,7 @@
 
 /// After the ledger may have forgotten a key, it stands for another request.
 fn is_remembered(before: Option<u64>, now: u64) -> bool {
-    before.is_some_and(|before| now <= before + ledger::KEY_MEMORY)
+    before.is_some_and(|before| now <= before + ledger::KEY_RETENTION_MS)
 }
 
 fn compare(
--- a/src/ledger/checkpoint/assembler.rs
+++ b/src/ledger/checkpoint/assembler.rs
@@ -120,7 +120,7 @@
         if ledger.next() != name.as_of || ledger.check_sums().is_err() {
             return None;
         }
-        ledger.share_names();
+        ledger.intern_names();
         Some(ledger)
     }
 }
--- a/src/ledger/expiry.rs
+++ b/src/ledger/expiry.rs
@@ -17,17 +17,17 @@
 /// How long a request that may run again is remembered after it was settled, in milliseconds of the log service's
 /// clock: twice the longest parting planned for, an hour, so that a caller that comes back from one finds its bill. At
 /// the size designed for, 3,800 requests a second, a day of them would fill any machine.
-pub(crate) const KEY_MEMORY: u64 = 2 * 60 * 60 * 1000;
+pub(crate) const KEY_RETENTION_MS: u64 = 2 * 60 * 60 * 1000;
 
 /// How long a request that may not run twice is remembered: a working day and the night after it.
-pub(crate) const ONCE_MEMORY: u64 = 24 * 60 * 60 * 1000;
+pub(crate) const ONCE_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// How long the state of a closed incarnation is shown, and a fingerprint stays in quarantine.
-pub(crate) const DAY: u64 = 24 * 60 * 60 * 1000;
+pub(crate) const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// How many entries one batch takes off each queue, besides two for each of its records. A quiet night's entries all
 /// come due at once; taken at once they would stop a router for as long as it takes.
-const STEP: usize = 16;
+const EXPIRED_PER_BATCH: usize = 16;
 
 /// The queues of what is to be forgotten.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
 }
 
 impl Expiry {
-    pub(super) fn settle(&mut self, at: u64, offset: Offset, key: &RequestKey, idempotent: bool) {
+    pub(super) fn push_key(&mut self, at: u64, offset: Offset, key: &RequestKey, idempotent: bool) {
         let queue = match idempotent {
             true => &mut self.keys,
             false => &mut self.once,
@@ -60,19 +60,19 @@
     }
 
     /// Lets `share` replace each request's name by an equal one.
-    pub(super) fn share_keys<F>(&mut self, share: F)
+    pub(super) fn intern_keys<F>(&mut self, intern: F)
     where
         F: Fn(&mut RequestKey),
     {
         let settled = self.keys.iter_mut().chain(&mut self.once);
-        settled.for_each(|settled| share(&mut settled.key));
+        settled.for_each(|settled| intern(&mut settled.key));
     }
 
-    pub(super) fn close(&mut self, at: u64, router: Incarnation) {
+    pub(super) fn push_router(&mut self, at: u64, router: Incarnation) {
         self.routers.push_back((at, router));
     }
 
-    pub(super) fn crash(&mut self, at: u64, request: Fingerprint) {
+    pub(super) fn push_crash(&mut self, at: u64, request: Fingerprint) {
         self.crashes.push_back((at, request));
     }
 }
@@ -80,42 +80,42 @@
 impl Ledger {
     /// Forgets what is old, a bounded amount at a time.
     pub(super) fn expire(&mut self, records: usize) {
-        let step = STEP + 2 * records;
+        let step = EXPIRED_PER_BATCH + 2 * records;
         for _ in 0..step {
             self.expire_key();
             self.expire_once();
         }
-        for _ in 0..STEP {
+        for _ in 0..EXPIRED_PER_BATCH {
             self.expire_router();
             self.expire_crash();
         }
     }
 
     fn expire_key(&mut self) {
-        let due = due(self.at, KEY_MEMORY);
-        if let Some(settled) = self.expiry.keys.pop_front_if(|s| s.at < due) {
+        let cutoff = cutoff(self.at, KEY_RETENTION_MS);
+        if let Some(settled) = self.expiry.keys.pop_front_if(|s| s.at < cutoff) {
             self.forget(&settled);
         }
     }
 
     fn expire_once(&mut self) {
-        let due = due(self.at, ONCE_MEMORY);
-        if let Some(settled) = self.expiry.once.pop_front_if(|s| s.at < due) {
+        let cutoff = cutoff(self.at, ONCE_RETENTION_MS);
+        if let Some(settled) = self.expiry.once.pop_front_if(|s| s.at < cutoff) {
             self.forget(&settled);
         }
     }
 
     fn expire_router(&mut self) {
-        let due = due(self.at, DAY);
-        if let Some((_, router)) = self.expiry.routers.pop_front_if(|(at, _)| *at < due) {
+        let cutoff = cutoff(self.at, DAY_MS);
+        if let Some((_, router)) = self.expiry.routers.pop_front_if(|(at, _)| *at < cutoff) {
             self.routers.swap_remove(&router);
             self.gone.insert(router);
         }
     }
 
     fn expire_crash(&mut self) {
-        let due = due(self.at, DAY);
-        let Some((_, request)) = self.expiry.crashes.pop_front_if(|(at, _)| *at < due) else {
+        let cutoff = cutoff(self.at, DAY_MS);
+        let Some((_, request)) = self.expiry.crashes.pop_front_if(|(at, _)| *at < cutoff) else {
             return;
         };
         let Some(crashes) = self.crashes.get_mut(&request) else {
@@ -142,6 +142,6 @@
 }
 
 /// Returns the time before which things are forgotten after `memory`.
-fn due(at: u64, memory: u64) -> u64 {
-    at.saturating_sub(memory)
+fn cutoff(at: u64, retention: u64) -> u64 {
+    at.saturating_sub(retention)
 }
--- a/src/ledger/share.rs
+++ b/src/ledger/intern.rs
@@ -11,27 +11,27 @@
 
 impl Ledger {
     /// Makes equal names share their bytes, after decoding.
-    pub(super) fn share_names(&mut self) {
-        self.share_keys();
-        self.share_teams();
+    pub(super) fn intern_names(&mut self) {
+        self.intern_keys();
+        self.intern_teams();
     }
 
-    fn share_keys(&mut self) {
+    fn intern_keys(&mut self) {
         let mut accounts = IndexSet::new();
         let keys = std::mem::take(&mut self.keys);
         self.keys = keys
             .into_iter()
-            .map(|(key, state)| (share_account(&mut accounts, key), state))
+            .map(|(key, state)| (intern_account(&mut accounts, key), state))
             .collect();
         let keys = &self.keys;
-        self.expiry.share_keys(|key| {
+        self.expiry.intern_keys(|key| {
             if let Some((_, shared, _)) = keys.get_full(key) {
                 *key = shared.clone();
             }
         });
     }
 
-    fn share_teams(&mut self) {
+    fn intern_teams(&mut self) {
         let teams = &self.teams;
         let claims = self.keys.values_mut().flat_map(|key| {
             let claim = key.claim.as_mut().map(|claim| &mut claim.team);
@@ -46,7 +46,7 @@
     }
 }
 
-fn share_account(accounts: &mut IndexSet<AccountId>, key: RequestKey) -> RequestKey {
+fn intern_account(accounts: &mut IndexSet<AccountId>, key: RequestKey) -> RequestKey {
     let (at, _) = accounts.insert_full(key.account);
     RequestKey {
         account: accounts[at].clone(),
--- a/src/ledger/membership.rs
+++ b/src/ledger/membership.rs
@@ -47,7 +47,7 @@
         if holds(Rule::Freed) {
             self.free_holdings(router);
         }
-        self.expiry.close(self.at, router);
+        self.expiry.push_router(self.at, router);
         Ok(())
     }
 
@@ -77,7 +77,7 @@
         if !crashes.note(endpoint) {
             return Err(VoidReason::Repeated);
         }
-        self.expiry.crash(self.at, request);
+        self.expiry.push_crash(self.at, request);
         Ok(())
     }
 }
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -208,7 +208,7 @@
             return;
         };
         state.settled = offset;
-        self.expiry.settle(self.at, offset, key, idempotent);
+        self.expiry.push_key(self.at, offset, key, idempotent);
     }
 }
 
