--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -71,7 +71,7 @@
 
     /// Compares the sums as of the last record.
     pub(crate) fn check(&mut self) {
-        if let Err(team) = self.ledger.check_sums() {
+        if let Err(team) = self.ledger.check_balances() {
             let next = self.ledger.next();
             let text = format!("team {team}: its holdings do not add up before record {next}");
             self.violations.push(text);
--- a/src/ledger/sums.rs
+++ b/src/ledger/balances.rs
@@ -17,15 +17,15 @@
     ///
     /// Names a team whose holdings are not what is noted of them, exceed what it prepaid and has not used, or have
     /// another amount set apart than the open claims reserve.
-    pub fn check_sums(&self) -> Result<(), TeamId> {
+    pub fn check_balances(&self) -> Result<(), TeamId> {
         let mut held: IndexMap<&TeamId, u128> = IndexMap::new();
         for (id, holding) in self.routers.values().flat_map(|r| &r.holdings) {
-            *held.entry(id).or_default() += wide(holding.free) + wide(holding.claimed);
+            *held.entry(id).or_default() += widen(holding.free) + widen(holding.claimed);
         }
         for (id, team) in &self.teams {
             let sum = held.swap_remove(id).unwrap_or_default();
-            let used = wide(team.spent) + wide(team.lost) + sum;
-            if sum != wide(team.held()) || used > wide(team.prepaid) {
+            let used = widen(team.spent) + widen(team.lost) + sum;
+            if sum != widen(team.held()) || used > widen(team.prepaid) {
                 return Err(id.clone());
             }
         }
@@ -33,20 +33,20 @@
         if let Some((id, _)) = held.first() {
             return Err((*id).clone());
         }
-        self.check_claims()
+        self.check_reservations()
     }
 
     /// Tells whether each holding has set apart what the open claims on it reserve, and no more.
-    fn check_claims(&self) -> Result<(), TeamId> {
+    fn check_reservations(&self) -> Result<(), TeamId> {
         let mut claimed: IndexMap<(Incarnation, &TeamId), u128> = IndexMap::new();
         for claim in self.keys.values().filter_map(|key| key.claim.as_ref()) {
             let sum = claimed.entry((claim.router, &claim.team)).or_default();
-            *sum += wide(claim.reserved);
+            *sum += widen(claim.reserved);
         }
         for (router, state) in &self.routers {
             for (team, holding) in &state.holdings {
                 let sum = claimed.swap_remove(&(*router, team)).unwrap_or_default();
-                if sum != wide(holding.claimed) {
+                if sum != widen(holding.claimed) {
                     return Err(team.clone());
                 }
             }
@@ -58,6 +58,6 @@
     }
 }
 
-fn wide(amount: Tokens) -> u128 {
+fn widen(amount: Tokens) -> u128 {
     u128::from(amount.0)
 }
--- a/src/ledger/checkpoint/assembler.rs
+++ b/src/ledger/checkpoint/assembler.rs
@@ -117,7 +117,7 @@
             return None;
         }
         let mut ledger: Ledger = postcard::from_bytes(&bytes).ok()?;
-        if ledger.next() != name.as_of || ledger.check_sums().is_err() {
+        if ledger.next() != name.as_of || ledger.check_balances().is_err() {
             return None;
         }
         ledger.intern_names();
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -3,6 +3,7 @@
 //! A partition is a stream of the log service. Its order is the agreement, and what it means is the pure, deterministic
 //! [`Ledger`]: every router folds the same records and so holds the same truth.
 
+mod balances;
 mod budget;
 mod checkpoint;
 mod codec;
@@ -16,7 +17,6 @@
 mod request;
 mod router;
 mod rules;
-mod sums;
 mod team;
 #[cfg(test)]
 mod tests;
--- a/src/ledger/tests/world.rs
+++ b/src/ledger/tests/world.rs
@@ -441,7 +441,7 @@
         let bills = self.ledger.keys().filter(|(_, k)| k.bill.is_some()).count() as u64;
         let closed = self.ledger.routers().filter(|(_, r)| r.closed);
         let rerun = |at: &usize| self.ran.iter().any(|ran| self.is_behind(*at, *ran));
-        if self.ledger.check_sums().is_err() || over {
+        if self.ledger.check_balances().is_err() || over {
             Some("a team was allotted more than it prepaid")
         } else if closed.into_iter().any(|(_, r)| !r.holdings.is_empty()) {
             Some("a closed router holds tokens")
--- a/tests/checkpoint.rs
+++ b/tests/checkpoint.rs
@@ -162,7 +162,7 @@
         let mut damaged = whole;
         damaged[at] ^= 1;
         refused += u64::from(
-            postcard::from_bytes::<Ledger>(&damaged).map_or(true, |l| l.check_sums().is_err()),
+            postcard::from_bytes::<Ledger>(&damaged).map_or(true, |l| l.check_balances().is_err()),
         );
     }
     println!("refused={refused}");
@@ -203,7 +203,7 @@
     ] {
         append(&mut ledger, 0, 1, &mut sequence, record);
     }
-    assert_eq!(ledger.check_sums(), Ok(()));
+    assert_eq!(ledger.check_balances(), Ok(()));
     let whole = bytes(&ledger);
     let amount = postcard::to_stdvec(&reserved).expect("it can be encoded");
     let places: Vec<_> = (0..whole.len())
@@ -214,7 +214,7 @@
         let mut damaged = whole.clone();
         damaged[at] ^= 1;
         let read: Ledger = postcard::from_bytes(&damaged).expect("it can be read");
-        assert!(read.check_sums().is_err());
+        assert!(read.check_balances().is_err());
     }
 }
 
--- a/tests/faults/verify.rs
+++ b/tests/faults/verify.rs
@@ -151,7 +151,7 @@
     .await;
     let mut wrong = reading.wrong.clone();
     wrong.extend(cluster.wrong.borrow().clone());
-    check_sums(&reading, &mut wrong);
+    check_balances(&reading, &mut wrong);
     for entry in &tries {
         check_answer(&reading, entry, &mut wrong);
     }
@@ -171,7 +171,7 @@
 }
 
 /// The sum of the bills is what the teams spent.
-fn check_sums(reading: &Reading, wrong: &mut Vec<String>) {
+fn check_balances(reading: &Reading, wrong: &mut Vec<String>) {
     let mut bills: IndexMap<TeamId, Tokens> = IndexMap::new();
     for (_, state) in reading.ledger.keys() {
         if let Some(bill) = &state.bill {
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -68,7 +68,7 @@
     fn property(history: History) -> bool {
         let mut good = true;
         fold(&history, |_, _, _, ledger| {
-            good &= ledger.check_sums().is_ok();
+            good &= ledger.check_balances().is_ok();
             good &= ledger
                 .teams()
                 .all(|(_, t)| t.spent + t.lost + t.held() <= t.prepaid);
@@ -289,7 +289,7 @@
             ledger.apply(offset, *time, batch);
             offset = ledger.next();
         }
-        ledger.unreadable() == history.0.len() as u64 && ledger.check_sums().is_ok()
+        ledger.unreadable() == history.0.len() as u64 && ledger.check_balances().is_ok()
     }
     check("unreadable", property as fn(Vec<u8>, History) -> bool);
 }
@@ -314,7 +314,7 @@
                 Err(_) => ledger.skip(ledger.next()),
             }
         }
-        ledger.check_sums().is_ok()
+        ledger.check_balances().is_ok()
     }
     check(
         "noise",
