--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -25,9 +25,9 @@
 use jasmineridge::Fingerprint;
 use jasmineridge::Incarnation;
 use jasmineridge::Ledger;
+use jasmineridge::MAX_PART_BYTES;
 use jasmineridge::Offset;
 use jasmineridge::Outcome;
-use jasmineridge::PART_SIZE;
 use jasmineridge::Record;
 use jasmineridge::RequestKey;
 use jasmineridge::Sequence;
@@ -346,7 +346,7 @@
         _ => with_keys(size),
     };
     let memory = resident() - before;
-    let parts = split(&ledger, PART_SIZE);
+    let parts = split(&ledger, MAX_PART_BYTES);
     let count = parts.len();
     let bytes: usize = parts.iter().map(|part| encode_part(part).len()).sum();
     println!("memory_bytes={memory} checkpoint_bytes={bytes} parts={count}");
--- a/benches/ledger.rs
+++ b/benches/ledger.rs
@@ -19,9 +19,9 @@
 use jasmineridge::Fingerprint;
 use jasmineridge::Incarnation;
 use jasmineridge::Ledger;
+use jasmineridge::MAX_PART_BYTES;
 use jasmineridge::Offset;
 use jasmineridge::Outcome;
-use jasmineridge::PART_SIZE;
 use jasmineridge::Record;
 use jasmineridge::RequestKey;
 use jasmineridge::Sequence;
@@ -177,7 +177,7 @@
 
 fn restore(ledger: &Ledger) {
     let begun = Instant::now();
-    let parts = split(ledger, PART_SIZE);
+    let parts = split(ledger, MAX_PART_BYTES);
     let cut = begun.elapsed();
     let stream: Vec<Vec<u8>> = parts.iter().map(encode_part).collect();
     drop(parts);
--- a/src/ledger/checkpoint/assembler.rs
+++ b/src/ledger/checkpoint/assembler.rs
@@ -9,7 +9,7 @@
 
 /// How many unfinished checkpoints are kept: that of the router whose turn it is, and those of routers that took it for
 /// dead or were it.
-const MAX_OPEN: usize = 4;
+const MAX_PARTIAL: usize = 4;
 
 /// A ledger that was put together.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 /// Takes parts in the order of their stream and yields each whole state that is newer than the last one.
 #[derive(Debug, Default)]
 pub struct Assembler {
-    open: IndexMap<Name, Pile>,
+    partial: IndexMap<CheckpointId, PartialCheckpoint>,
     /// The end of the newest one that was whole.
     newest: Option<Offset>,
     /// How many whole ones were damaged all the same.
@@ -32,7 +32,7 @@
 
 /// What all parts of a checkpoint have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Name {
+struct CheckpointId {
     as_of: Offset,
     count: u32,
     whole: u64,
@@ -40,7 +40,7 @@
 
 /// The parts of one checkpoint that have come so far.
 #[derive(Debug)]
-struct Pile {
+struct PartialCheckpoint {
     first: Offset,
     parts: IndexMap<u32, Vec<u8>>,
 }
@@ -58,30 +58,33 @@
 
     /// Takes the part at `offset` of the checkpoints' stream.
     pub fn push(&mut self, offset: Offset, part: Part) -> Option<Restored> {
-        if !part.is_sound() || self.newest.is_some_and(|newest| part.as_of <= newest) {
+        if !part.is_valid() || self.newest.is_some_and(|newest| part.as_of <= newest) {
             return None;
         }
-        let name = Name {
+        let id = CheckpointId {
             as_of: part.as_of,
             count: part.count,
             whole: part.whole,
         };
-        let pile = self.open.entry(name).or_insert_with(|| Pile::new(offset));
-        pile.parts.insert(part.index, part.bytes);
-        if pile.parts.len() as u64 == u64::from(name.count) {
-            return self.finish(name);
+        let partial = self
+            .partial
+            .entry(id)
+            .or_insert_with(|| PartialCheckpoint::new(offset));
+        partial.parts.insert(part.index, part.bytes);
+        if partial.parts.len() as u64 == u64::from(id.count) {
+            return self.finish(id);
         }
-        self.bound();
+        self.evict_oldest();
         None
     }
 
-    fn finish(&mut self, name: Name) -> Option<Restored> {
-        let pile = self.open.shift_remove(&name)?;
-        let first = pile.first;
-        match pile.restore(name) {
+    fn finish(&mut self, id: CheckpointId) -> Option<Restored> {
+        let partial = self.partial.shift_remove(&id)?;
+        let first = partial.first;
+        match partial.restore(id) {
             Some(ledger) => {
-                self.newest = Some(name.as_of);
-                self.open.retain(|other, _| other.as_of > name.as_of);
+                self.newest = Some(id.as_of);
+                self.partial.retain(|other, _| other.as_of > id.as_of);
                 Some(Restored { ledger, first })
             }
             None => {
@@ -92,17 +95,17 @@
     }
 
     /// Drops the oldest unfinished one when there are too many.
-    fn bound(&mut self) {
-        if self.open.len() <= MAX_OPEN {
+    fn evict_oldest(&mut self) {
+        if self.partial.len() <= MAX_PARTIAL {
             return;
         }
-        if let Some(oldest) = self.open.keys().min_by_key(|name| name.as_of).copied() {
-            self.open.shift_remove(&oldest);
+        if let Some(oldest) = self.partial.keys().min_by_key(|id| id.as_of).copied() {
+            self.partial.shift_remove(&oldest);
         }
     }
 }
 
-impl Pile {
+impl PartialCheckpoint {
     fn new(first: Offset) -> Self {
         Self {
             first,
@@ -110,14 +113,14 @@
         }
     }
 
-    fn restore(mut self, name: Name) -> Option<Ledger> {
+    fn restore(mut self, id: CheckpointId) -> Option<Ledger> {
         self.parts.sort_unstable_keys();
         let bytes: Vec<u8> = self.parts.into_values().flatten().collect();
-        if xxh3_64(&bytes) != name.whole {
+        if xxh3_64(&bytes) != id.whole {
             return None;
         }
         let mut ledger: Ledger = postcard::from_bytes(&bytes).ok()?;
-        if ledger.next() != name.as_of || ledger.check_balances().is_err() {
+        if ledger.next() != id.as_of || ledger.check_balances().is_err() {
             return None;
         }
         ledger.intern_names();
--- a/src/ledger/checkpoint/mod.rs
+++ b/src/ledger/checkpoint/mod.rs
@@ -13,8 +13,8 @@
 
 pub use assembler::Assembler;
 pub use assembler::Restored;
+pub use part::MAX_PART_BYTES;
 pub use part::MAX_PARTS;
-pub use part::PART_SIZE;
 pub use part::Part;
 pub use part::decode_part;
 pub use part::encode_part;
--- a/src/ledger/checkpoint/part.rs
+++ b/src/ledger/checkpoint/part.rs
@@ -11,7 +11,7 @@
 
 /// The most bytes of state in one part: large enough that 430,000 budgets are some hundred appends, small enough that
 /// one part does not hold up the appends of claims and bills behind it.
-pub const PART_SIZE: usize = 256 * 1024;
+pub const MAX_PART_BYTES: usize = 256 * 1024;
 
 /// The most parts that a checkpoint may have, 256 MiB: a damaged count must not make a reader keep room for billions.
 pub const MAX_PARTS: u32 = 1024;
@@ -38,14 +38,14 @@
 
 impl Part {
     /// Returns whether it can be a part of anything: its place is among its parts and its bytes are undamaged.
-    pub(super) fn is_sound(&self) -> bool {
+    pub(super) fn is_valid(&self) -> bool {
         self.index < self.count
             && self.count <= MAX_PARTS
-            && self.bytes.len() <= PART_SIZE
-            && self.checksum == self.sum()
+            && self.bytes.len() <= MAX_PART_BYTES
+            && self.checksum == self.compute_checksum()
     }
 
-    fn sum(&self) -> u64 {
+    fn compute_checksum(&self) -> u64 {
         let mut hasher = Xxh3::new();
         hasher.update(&self.as_of.0.to_le_bytes());
         hasher.update(&self.index.to_le_bytes());
@@ -55,13 +55,13 @@
         hasher.digest()
     }
 
-    fn sealed(mut self) -> Self {
-        self.checksum = self.sum();
+    fn with_checksum(mut self) -> Self {
+        self.checksum = self.compute_checksum();
         self
     }
 }
 
-/// Cuts a ledger into parts of `size` bytes, [`PART_SIZE`] or less; none, where it would take more than [`MAX_PARTS`].
+/// Cuts a ledger into parts of `size` bytes, [`MAX_PART_BYTES`] or less; none, where it would take more than [`MAX_PARTS`].
 ///
 /// # Panics
 ///
@@ -69,7 +69,7 @@
 pub fn split(ledger: &Ledger, size: usize) -> Vec<Part> {
     let bytes = postcard::to_stdvec(ledger).expect("a ledger can be encoded");
     let whole = xxh3_64(&bytes);
-    let chunks = bytes.chunks(size.clamp(1, PART_SIZE));
+    let chunks = bytes.chunks(size.clamp(1, MAX_PART_BYTES));
     let count = match u32::try_from(chunks.len()) {
         Ok(count) if count <= MAX_PARTS => count,
         _ => return Vec::new(),
@@ -84,7 +84,7 @@
             checksum: 0,
             bytes: chunk.to_vec(),
         })
-        .map(Part::sealed)
+        .map(Part::with_checksum)
         .collect()
 }
 
@@ -109,7 +109,7 @@
         return Err(DecodeError::Version(*version));
     }
     let (part, left): (Part, _) = postcard::take_from_bytes(rest).map_err(DecodeError::Damaged)?;
-    match left.is_empty() && part.is_sound() {
+    match left.is_empty() && part.is_valid() {
         true => Ok(part),
         false => Err(DecodeError::Checksum),
     }
--- a/src/ledger/checkpoint/schedule.rs
+++ b/src/ledger/checkpoint/schedule.rs
@@ -11,22 +11,22 @@
 
 /// A checkpoint is due after a quarter of the log's retention. Half of the retention is then left when the last router
 /// in the order has had its turn, for outages of the log and for reading it.
-const AGE: u64 = 4;
+const DUE_AGE_DIVISOR: u64 = 4;
 
 /// Each next router in the order waits for this part of the retention longer, eight at most.
-const TURN: u64 = 32;
+const TURN_DIVISOR: u64 = 32;
 
 /// The latest turn, in turns.
-const LAST_TURN: u64 = 8;
+const MAX_TURNS: u64 = 8;
 
 /// When checkpoints are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// How long the log keeps records, milliseconds.
-    pub retention: u64,
+    pub retention_ms: u64,
     /// How many records of the stream, a batch each, may follow a checkpoint before the next one is due: what a fresh
     /// router has to read and fold.
-    pub records: u64,
+    pub max_records: u64,
 }
 
 impl Schedule {
@@ -41,11 +41,11 @@
         let last = ledger.checkpoint().unwrap_or_default();
         let age = now.saturating_sub(last.at);
         let records = ledger.next().0.saturating_sub(last.as_of.0);
-        let wait = turn.min(LAST_TURN) * (self.retention / TURN);
-        let old = age >= (self.retention / AGE).saturating_add(wait);
+        let wait = turn.min(MAX_TURNS) * (self.retention_ms / TURN_DIVISOR);
+        let aged = age >= (self.retention_ms / DUE_AGE_DIVISOR).saturating_add(wait);
         // A later turn's router steps in for a dead one by the number of records as well, at twice, three times as many.
-        let long = records >= self.records.saturating_mul(turn.min(LAST_TURN) + 1);
-        ledger.next().0 > 0 && (old || long)
+        let grown = records >= self.max_records.saturating_mul(turn.min(MAX_TURNS) + 1);
+        ledger.next().0 > 0 && (aged || grown)
     }
 }
 
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -23,8 +23,8 @@
 mod verdict;
 
 pub use checkpoint::Assembler;
+pub use checkpoint::MAX_PART_BYTES;
 pub use checkpoint::MAX_PARTS;
-pub use checkpoint::PART_SIZE;
 pub use checkpoint::Part;
 pub use checkpoint::Restored;
 pub use checkpoint::Schedule;
--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -7,7 +7,7 @@
 use tracing::warn;
 
 use crate::ids::Offset;
-use crate::ledger::PART_SIZE;
+use crate::ledger::MAX_PART_BYTES;
 use crate::ledger::Record;
 use crate::ledger::Schedule;
 use crate::ledger::encode_part;
@@ -31,14 +31,14 @@
             return;
         }
         let schedule = Schedule {
-            retention: millis(self.tuning.retention),
-            records: BATCHES,
+            retention_ms: millis(self.tuning.retention),
+            max_records: BATCHES,
         };
         if !schedule.is_due(&self.ledger, self.me, self.log_time(now)) {
             return;
         }
         self.checkpointed = Some(now);
-        let parts = split(&self.ledger, PART_SIZE);
+        let parts = split(&self.ledger, MAX_PART_BYTES);
         if parts.is_empty() {
             // Unsaid, the log would let go of the last checkpoint, and nobody would know until a fleet restarts.
             warn!(
--- a/tests/checkpoint.rs
+++ b/tests/checkpoint.rs
@@ -11,8 +11,8 @@
 use jasmineridge::Fingerprint;
 use jasmineridge::Incarnation;
 use jasmineridge::Ledger;
+use jasmineridge::MAX_PART_BYTES;
 use jasmineridge::Offset;
-use jasmineridge::PART_SIZE;
 use jasmineridge::Part;
 use jasmineridge::Record;
 use jasmineridge::RequestKey;
@@ -227,8 +227,8 @@
 fn the_last_checkpoint_is_never_let_go() {
     fn property(faults: Vec<(u8, u8)>) -> bool {
         let schedule = Schedule {
-            retention: 24 * HOUR,
-            records: 1000,
+            retention_ms: 24 * HOUR,
+            max_records: 1000,
         };
         let mut ledger = Ledger::default();
         let mut sequences = [0; 3];
@@ -258,7 +258,7 @@
                 }
             }
             if let Some(last) = ledger.checkpoint()
-                && now - last.at >= schedule.retention
+                && now - last.at >= schedule.retention_ms
             {
                 return false;
             }
@@ -291,8 +291,8 @@
 #[test]
 fn one_router_writes_when_all_are_well() {
     let schedule = Schedule {
-        retention: 24 * HOUR,
-        records: 1000,
+        retention_ms: 24 * HOUR,
+        max_records: 1000,
     };
     let mut ledger = Ledger::default();
     for router in 0..200 {
@@ -307,7 +307,7 @@
     assert_eq!(due(6 * HOUR), 1);
     assert_eq!(due(6 * HOUR + 45 * MINUTE), 2);
     assert_eq!(due(12 * HOUR), 200);
-    assert!(split(&ledger, PART_SIZE).len() == 1);
+    assert!(split(&ledger, MAX_PART_BYTES).len() == 1);
 }
 
 /// A router wrote a checkpoint, stopped before it announced it, and does so after another one was announced whose parts
