--- a/src/ledger/budget.rs
+++ b/src/ledger/budget.rs
@@ -43,12 +43,12 @@
         }
         state.held += granted;
         if let Some(router) = self.routers.get_mut(&router) {
-            router.holding(name).free += granted;
+            router.holding_mut(name).free += granted;
         }
         granted
     }
 
-    pub(super) fn give_back(
+    pub(super) fn return_tokens(
         &mut self,
         router: Incarnation,
         team: &TeamId,
@@ -87,8 +87,8 @@
             lender.lent = number;
         }
         if let Some(borrower) = self.routers.get_mut(&to) {
-            borrower.holding(&name).free += amount;
-            borrower.tidy(&name);
+            borrower.holding_mut(&name).free += amount;
+            borrower.remove_empty_holding(&name);
         }
         Ok(())
     }
@@ -106,7 +106,7 @@
             .filter(|holding| holding.free >= amount)
             .ok_or(VoidReason::Holding)?;
         holding.free -= amount;
-        router.tidy(team);
+        router.remove_empty_holding(team);
         Ok(())
     }
 
@@ -137,36 +137,36 @@
     }
 
     /// Takes `back` of a claim's reservation back into what its router may reserve.
-    pub(super) fn unreserve(&mut self, claim: &ClaimState, back: Tokens) {
-        if back == Tokens::ZERO {
+    pub(super) fn unreserve(&mut self, claim: &ClaimState, amount: Tokens) {
+        if amount == Tokens::ZERO {
             return;
         }
         let router = self.routers.get_mut(&claim.router);
         if let Some(holding) = router.and_then(|r| r.holdings.get_mut(&claim.team)) {
-            holding.claimed -= back;
-            holding.free += back;
+            holding.claimed -= amount;
+            holding.free += amount;
         }
     }
 
     /// Takes `amount` of a claim's reservation out of the budget.
     pub(super) fn spend(&mut self, claim: &ClaimState, amount: Tokens) {
-        if let Some(team) = self.leave(claim, amount) {
+        if let Some(team) = self.deduct_claimed(claim, amount) {
             team.spent += amount;
         }
     }
 
     /// Takes `amount` of a claim's reservation as used without a bill.
-    pub(super) fn settle_lost(&mut self, claim: &ClaimState, amount: Tokens) {
+    pub(super) fn charge_lost(&mut self, claim: &ClaimState, amount: Tokens) {
         if claim.bearer == Bearer::House {
             return self.unreserve(claim, amount);
         }
-        if let Some(team) = self.leave(claim, amount) {
+        if let Some(team) = self.deduct_claimed(claim, amount) {
             team.lost += amount;
         }
     }
 
     /// Takes `amount` of a claim's reservation away from its router and returns the team, which has it now.
-    fn leave(&mut self, claim: &ClaimState, amount: Tokens) -> Option<&mut TeamState> {
+    fn deduct_claimed(&mut self, claim: &ClaimState, amount: Tokens) -> Option<&mut TeamState> {
         if amount == Tokens::ZERO {
             return None;
         }
@@ -178,7 +178,7 @@
     }
 
     /// Gives all that a router holds back to the teams; its claims are settled by then.
-    pub(super) fn free_holdings(&mut self, router: Incarnation) {
+    pub(super) fn return_holdings(&mut self, router: Incarnation) {
         let Some(router) = self.routers.get_mut(&router) else {
             return;
         };
--- a/src/ledger/crash.rs
+++ b/src/ledger/crash.rs
@@ -19,10 +19,10 @@
 
 impl Crashes {
     /// Notes one more endpoint and tells whether that was news.
-    pub(super) fn note(&mut self, endpoint: &VmId) -> bool {
-        let news = !self.at_limit() && self.endpoints.insert(endpoint.clone());
-        self.noted = self.noted.saturating_add(u32::from(news));
-        news
+    pub(super) fn add(&mut self, endpoint: &VmId) -> bool {
+        let is_new = !self.at_limit() && self.endpoints.insert(endpoint.clone());
+        self.noted = self.noted.saturating_add(u32::from(is_new));
+        is_new
     }
 
     /// Tells whether no further endpoint should be risked.
--- a/src/ledger/fold.rs
+++ b/src/ledger/fold.rs
@@ -35,7 +35,7 @@
 
 /// A whole checkpoint, as the ledger knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Checkpointed {
+pub struct CheckpointInfo {
     /// The offset of the first record of the ledger that it has not folded.
     pub as_of: Offset,
     /// Where in the checkpoints' stream its first part stands.
@@ -59,7 +59,7 @@
     pub(super) leaders: IndexMap<PoolId, (Incarnation, Offset)>,
     pub(super) crashes: IndexMap<Fingerprint, Crashes>,
     pub(super) expiry: Expiry,
-    pub(super) checkpoint: Option<Checkpointed>,
+    pub(super) checkpoint: Option<CheckpointInfo>,
 }
 
 impl Ledger {
@@ -133,14 +133,14 @@
     }
 
     /// Returns the newest whole checkpoint. Neither stream may let go of what stands behind it.
-    pub fn checkpoint(&self) -> Option<Checkpointed> {
+    pub fn checkpoint(&self) -> Option<CheckpointInfo> {
         self.checkpoint
     }
 
     /// Passes over the record at `offset`, which cannot be read, and counts it.
     pub fn skip(&mut self, offset: Offset) {
         if offset == self.next {
-            self.next = after(offset);
+            self.next = next_offset(offset);
             self.unreadable = self.unreadable.saturating_add(1);
         }
     }
@@ -153,10 +153,10 @@
         if let Err(void) = self.admit_offset(offset) {
             return vec![Verdict::Void(void); batch.records.len()];
         }
-        self.next = after(offset);
+        self.next = next_offset(offset);
         self.at = self.at.max(at);
         let verdicts = match self.admit(batch) {
-            Ok(()) => self.records(offset, batch),
+            Ok(()) => self.apply_records(offset, batch),
             Err(void) => vec![Verdict::Void(void); batch.records.len()],
         };
         self.expire(batch.records.len());
@@ -179,7 +179,7 @@
         match self.routers.get_mut(&batch.router) {
             None => self.admit_first(batch),
             Some(router) if router.closed && holds(Rule::Closed) => Err(VoidReason::Closed),
-            Some(router) if !router.follows(batch.sequence) && holds(Rule::Sequence) => {
+            Some(router) if !router.is_next(batch.sequence) && holds(Rule::Sequence) => {
                 Err(VoidReason::Sequence)
             }
             Some(router) => {
@@ -215,35 +215,35 @@
         Ok(())
     }
 
-    fn records(&mut self, offset: Offset, batch: &Batch) -> Vec<Verdict> {
+    fn apply_records(&mut self, offset: Offset, batch: &Batch) -> Vec<Verdict> {
         let first = batch.sequence == Sequence(1);
         batch
             .records
             .iter()
             .enumerate()
-            .map(|(at, record)| self.record(offset, batch.router, record, first && at == 0))
+            .map(|(at, record)| self.apply_record(offset, batch.router, record, first && at == 0))
             .collect()
     }
 
-    /// Folds one record; `opens` says that it stands where an incarnation opens.
-    fn record(
+    /// Folds one record; `is_first` says that it stands where an incarnation is_first.
+    fn apply_record(
         &mut self,
         offset: Offset,
         router: Incarnation,
         record: &Record,
-        opens: bool,
+        is_first: bool,
     ) -> Verdict {
         // A router may close itself, and what follows in the same batch is as void as what follows in the log: a draw
         // behind it would be held by no one who could give it back.
         if !self.is_open(router) && holds(Rule::Closed) {
             return Verdict::Void(VoidReason::Closed);
         }
-        let done = match record {
+        let result = match record {
             Record::Draw { team, want } => return Verdict::Granted(self.draw(router, team, *want)),
-            Record::Open { vm, .. } if opens => self.open(offset, router, vm),
+            Record::Open { vm, .. } if is_first => self.open(offset, router, vm),
             Record::Open { .. } => Err(VoidReason::Repeated),
             Record::TopUp { id, team, amount } => self.top_up(id, team, *amount),
-            Record::Return { team, amount } => self.give_back(router, team, *amount),
+            Record::Return { team, amount } => self.return_tokens(router, team, *amount),
             Record::Lend {
                 to,
                 team,
@@ -261,9 +261,9 @@
             Record::Close { router } => self.close(offset, *router),
             Record::Lead { pool } => self.lead(offset, router, pool),
             Record::Crash { request, endpoint } => self.crash(*request, endpoint),
-            Record::Checkpoint { as_of, first } => self.checkpointed(*as_of, *first),
+            Record::Checkpoint { as_of, first } => self.note_checkpoint(*as_of, *first),
         };
-        match done {
+        match result {
             Ok(()) => Verdict::Accepted,
             Err(void) => Verdict::Void(void),
         }
@@ -275,7 +275,7 @@
     ///
     /// A paused writer's announcement may land late, or be of a state that was old when it was written. Either stream may
     /// then have let go of its parts or of the records behind it; so both its ends must lie behind those of the newest.
-    fn checkpointed(&mut self, as_of: Offset, first: Offset) -> Result<(), VoidReason> {
+    fn note_checkpoint(&mut self, as_of: Offset, first: Offset) -> Result<(), VoidReason> {
         if let Some(newest) = self.checkpoint
             && (as_of <= newest.as_of || first <= newest.first)
         {
@@ -285,12 +285,12 @@
             return Err(VoidReason::Gap);
         }
         let at = self.at;
-        self.checkpoint = Some(Checkpointed { as_of, first, at });
+        self.checkpoint = Some(CheckpointInfo { as_of, first, at });
         Ok(())
     }
 }
 
 /// Returns the offset behind `offset`; the largest has none, and no log gets there.
-fn after(offset: Offset) -> Offset {
+fn next_offset(offset: Offset) -> Offset {
     Offset(offset.0.saturating_add(1))
 }
--- a/src/ledger/key.rs
+++ b/src/ledger/key.rs
@@ -36,7 +36,7 @@
 
 impl KeyState {
     /// Returns whether the ledger proves that no attempt ran, nor will one that began before the refusal.
-    pub fn is_unrun(&self) -> bool {
+    pub fn never_ran(&self) -> bool {
         self.refused.is_some() && self.claim.is_none() && self.bill.is_none() && !self.orphaned
     }
 
--- a/src/ledger/membership.rs
+++ b/src/ledger/membership.rs
@@ -45,7 +45,7 @@
             self.orphan(offset, key);
         }
         if holds(Rule::Freed) {
-            self.free_holdings(router);
+            self.return_holdings(router);
         }
         self.expiry.push_router(self.at, router);
         Ok(())
@@ -74,7 +74,7 @@
         endpoint: &VmId,
     ) -> Result<(), VoidReason> {
         let crashes = self.crashes.entry(request).or_default();
-        if !crashes.note(endpoint) {
+        if !crashes.add(endpoint) {
             return Err(VoidReason::Repeated);
         }
         self.expiry.push_crash(self.at, request);
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -35,7 +35,7 @@
 pub use codec::decode;
 pub use codec::encode;
 pub(crate) use expiry::KEY_RETENTION_MS;
-pub use fold::Checkpointed;
+pub use fold::CheckpointInfo;
 pub use fold::Ledger;
 pub use key::BillState;
 pub use key::ClaimState;
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -65,7 +65,7 @@
     /// Takes a request for this router, before anything is dispatched.
     Claim(Claim),
     /// Ends the router's own claim of a request that it never dispatched. Whether the request is proved not to have run
-    /// is for [`KeyState::is_unrun`](super::KeyState::is_unrun): an earlier claim of it may have.
+    /// is for [`KeyState::never_ran`](super::KeyState::never_ran): an earlier claim of it may have.
     Release {
         /// The request.
         key: RequestKey,
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -22,7 +22,7 @@
     pub(super) fn claim(&mut self, router: Incarnation, claim: &Claim) -> Result<(), VoidReason> {
         self.check_claim(router, claim)?;
         let team = self.reserve(router, &claim.team, claim.reserved)?;
-        let key = self.touch(&claim.key);
+        let key = self.key_mut(&claim.key);
         key.request = Some(claim.request);
         key.once |= !claim.idempotent;
         key.reruns += u8::from(key.bill.is_some());
@@ -52,12 +52,12 @@
         if key.request.is_some_and(|request| request != claim.request) {
             return Err(VoidReason::OtherRequest);
         }
-        if let Some(held) = &key.claim
+        if let Some(current) = &key.claim
             && holds(Rule::First)
         {
-            return match self.is_open(held.router) {
-                true if held.router == router => Err(VoidReason::Mine),
-                true => Err(VoidReason::ClaimedBy(held.router)),
+            return match self.is_open(current.router) {
+                true if current.router == router => Err(VoidReason::Mine),
+                true => Err(VoidReason::ClaimedBy(current.router)),
                 // Whoever had it is closed, and closing settled its reservation; only a request that may not run
                 // twice keeps such a claim.
                 false => Err(VoidReason::Unknown),
@@ -71,7 +71,9 @@
             return Err(VoidReason::Unknown);
         }
         match key.refused {
-            Some((offset, attempt)) if refused(claim, offset, attempt) => Err(VoidReason::Refused),
+            Some((offset, attempt)) if is_refused(claim, offset, attempt) => {
+                Err(VoidReason::Refused)
+            }
             _ => Ok(()),
         }
     }
@@ -85,12 +87,12 @@
     ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
         self.unreserve(&claim, claim.reserved);
-        let state = self.touch(key);
+        let state = self.key_mut(key);
         match state.bill {
             Some(_) => state.reruns = state.reruns.saturating_sub(1),
             None => state.refuse(offset, claim.attempt),
         }
-        self.remember(offset, key, claim.idempotent);
+        self.schedule_expiry(offset, key, claim.idempotent);
         Ok(())
     }
 
@@ -110,8 +112,8 @@
         if let Some(state) = self.keys.get(key) {
             self.check_refuse(state)?;
         }
-        self.touch(key).refuse(offset, attempt);
-        self.remember(offset, key, true);
+        self.key_mut(key).refuse(offset, attempt);
+        self.schedule_expiry(offset, key, true);
         Ok(())
     }
 
@@ -143,9 +145,9 @@
             false => amount,
         };
         self.unreserve(&claim, claim.reserved - amount);
-        let state = self.touch(key);
+        let state = self.key_mut(key);
         if state.bill.is_some() && holds(Rule::FirstBill) {
-            self.settle_lost(&claim, amount);
+            self.charge_lost(&claim, amount);
         } else {
             state.bill = Some(Box::new(BillState {
                 team: claim.team.clone(),
@@ -154,7 +156,7 @@
             }));
             self.spend(&claim, amount);
         }
-        self.remember(offset, key, claim.idempotent);
+        self.schedule_expiry(offset, key, claim.idempotent);
         Ok(())
     }
 
@@ -162,7 +164,7 @@
     ///
     /// The claim of a request that may not run twice stays, with nothing reserved, so that no one ever runs it again.
     pub(super) fn orphan(&mut self, offset: Offset, key: &RequestKey) {
-        let state = self.touch(key);
+        let state = self.key_mut(key);
         let Some(claim) = state.claim.take() else {
             return;
         };
@@ -174,8 +176,8 @@
             };
             state.claim = Some(Box::new(kept));
         }
-        self.settle_lost(&claim, claim.reserved);
-        self.remember(offset, key, claim.idempotent);
+        self.charge_lost(&claim, claim.reserved);
+        self.schedule_expiry(offset, key, claim.idempotent);
     }
 
     fn take_claim(
@@ -194,7 +196,7 @@
         Ok(*claim)
     }
 
-    fn touch(&mut self, key: &RequestKey) -> &mut KeyState {
+    fn key_mut(&mut self, key: &RequestKey) -> &mut KeyState {
         let at = match self.keys.get_index_of(key) {
             Some(at) => at,
             None => self.keys.insert_full(key.clone(), KeyState::default()).0,
@@ -203,7 +205,7 @@
     }
 
     /// Notes when a request of which no claim is open may be forgotten.
-    fn remember(&mut self, offset: Offset, key: &RequestKey, idempotent: bool) {
+    fn schedule_expiry(&mut self, offset: Offset, key: &RequestKey, idempotent: bool) {
         let Some((_, key, state)) = self.keys.get_full_mut(key) else {
             return;
         };
@@ -216,7 +218,7 @@
 ///
 /// An attempt that lay on the network arrives with a `seen` behind the refusal of a later one; only the caller's count
 /// gives it away. Once a refusal was counted, an attempt without a number cannot be told from such a one.
-fn refused(claim: &Claim, offset: Offset, attempt: Attempt) -> bool {
+fn is_refused(claim: &Claim, offset: Offset, attempt: Attempt) -> bool {
     let counted = attempt != Attempt(0);
     let late = offset > claim.seen && holds(Rule::Seen);
     let earlier = counted && claim.attempt <= attempt && holds(Rule::Count);
--- a/src/ledger/router.rs
+++ b/src/ledger/router.rs
@@ -54,11 +54,11 @@
     }
 
     /// Tells whether a batch of this number is its next.
-    pub(super) fn follows(&self, sequence: Sequence) -> bool {
+    pub(super) fn is_next(&self, sequence: Sequence) -> bool {
         self.sequence.0.checked_add(1) == Some(sequence.0)
     }
 
-    pub(super) fn holding(&mut self, team: &TeamId) -> &mut Holding {
+    pub(super) fn holding_mut(&mut self, team: &TeamId) -> &mut Holding {
         self.holdings.entry(team.clone()).or_default()
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Forgets a holding of nothing, so that the state does not grow with each team that ever was drawn on.
-    pub(super) fn tidy(&mut self, team: &TeamId) {
+    pub(super) fn remove_empty_holding(&mut self, team: &TeamId) {
         if self.holdings.get(team) == Some(&Holding::default()) {
             self.holdings.swap_remove(team);
         }
--- a/src/ledger/tests/world.rs
+++ b/src/ledger/tests/world.rs
@@ -413,7 +413,7 @@
     }
 
     fn stage_after(&self, record: &Record, good: bool) -> Stage {
-        let unrun = |key| self.ledger.key(key).is_some_and(|k| k.is_unrun());
+        let unrun = |key| self.ledger.key(key).is_some_and(|k| k.never_ran());
         match record {
             Record::Claim(_) if good => Stage::Claimed,
             Record::Bill { .. } if good => Stage::Billed,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -179,7 +179,7 @@
 pub use ledger::Batch;
 pub use ledger::Bearer;
 pub use ledger::BillState;
-pub use ledger::Checkpointed;
+pub use ledger::CheckpointInfo;
 pub use ledger::Claim;
 pub use ledger::ClaimState;
 pub use ledger::DecodeError;
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -173,7 +173,7 @@
         let not_run = self
             .ledger
             .key(&request.key)
-            .is_some_and(|key| key.is_unrun());
+            .is_some_and(|key| key.never_ran());
         problem.ran = match *verdict == Verdict::Accepted && not_run {
             true => Ran::No,
             false => Ran::Unknown,
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -46,7 +46,7 @@
         (ProblemKind::BudgetSpent, Ran::No)
     );
     let state = bench.key_state("p2").expect("it stands in the log");
-    assert!(state.is_unrun());
+    assert!(state.never_ran());
     bench.top_up("later", 10_000);
     // The first attempt arrives only now, and may not run any more; a third one may.
     let late = bench.chat("p2", 1);
@@ -93,7 +93,7 @@
         bench.pass(300);
         assert_eq!(told(&bench, 0, id), (ProblemKind::NoEndpoint, Ran::No));
         let state = bench.key_state("p5").expect("it stands in the log");
-        assert!(state.is_unrun());
+        assert!(state.never_ran());
         assert_eq!(bench.spent(), 0);
     }
 }
