--- a/src/ledger/budget.rs
+++ b/src/ledger/budget.rs
@@ -9,7 +9,7 @@
 use crate::ledger::key::ClaimState;
 use crate::ledger::record::Bearer;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
+use crate::ledger::rules::is_enforced;
 use crate::ledger::team::TeamState;
 use crate::ledger::verdict::VoidReason;
 use crate::tokens::Tokens;
@@ -21,7 +21,7 @@
         team: &TeamId,
         amount: Tokens,
     ) -> Result<(), VoidReason> {
-        if !self.topups.insert(digest(team, id)) && holds(Rule::TopUp) {
+        if !self.topups.insert(digest(team, id)) && is_enforced(Rule::TopUp) {
             return Err(VoidReason::Repeated);
         }
         let team = self.teams.entry(team.clone()).or_default();
@@ -34,7 +34,7 @@
         let Some((_, name, state)) = self.teams.get_full_mut(team) else {
             return Tokens::ZERO;
         };
-        let granted = match holds(Rule::Draw) {
+        let granted = match is_enforced(Rule::Draw) {
             true => want.min(state.undrawn()),
             false => want,
         };
@@ -128,7 +128,7 @@
                 _ => Err(VoidReason::Holding),
             };
         };
-        if holding.free < amount && holds(Rule::Reserve) {
+        if holding.free < amount && is_enforced(Rule::Reserve) {
             return Err(VoidReason::Holding);
         }
         holding.free -= amount;
--- a/src/ledger/fold.rs
+++ b/src/ledger/fold.rs
@@ -27,7 +27,7 @@
 use crate::ledger::record::Record;
 use crate::ledger::router::RouterState;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
+use crate::ledger::rules::is_enforced;
 use crate::ledger::team::Holding;
 use crate::ledger::team::TeamState;
 use crate::ledger::verdict::Verdict;
@@ -178,8 +178,8 @@
     fn admit(&mut self, batch: &Batch) -> Result<(), VoidReason> {
         match self.routers.get_mut(&batch.router) {
             None => self.admit_first(batch),
-            Some(router) if router.closed && holds(Rule::Closed) => Err(VoidReason::Closed),
-            Some(router) if !router.is_next(batch.sequence) && holds(Rule::Sequence) => {
+            Some(router) if router.closed && is_enforced(Rule::Closed) => Err(VoidReason::Closed),
+            Some(router) if !router.is_next(batch.sequence) && is_enforced(Rule::Sequence) => {
                 Err(VoidReason::Sequence)
             }
             Some(router) => {
@@ -235,7 +235,7 @@
     ) -> Verdict {
         // A router may close itself, and what follows in the same batch is as void as what follows in the log: a draw
         // behind it would be held by no one who could give it back.
-        if !self.is_open(router) && holds(Rule::Closed) {
+        if !self.is_open(router) && is_enforced(Rule::Closed) {
             return Verdict::Void(VoidReason::Closed);
         }
         let result = match record {
--- a/src/ledger/membership.rs
+++ b/src/ledger/membership.rs
@@ -7,7 +7,7 @@
 use crate::ids::VmId;
 use crate::ledger::fold::Ledger;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
+use crate::ledger::rules::is_enforced;
 use crate::ledger::verdict::VoidReason;
 
 impl Ledger {
@@ -44,7 +44,7 @@
         for key in &claims {
             self.orphan(offset, key);
         }
-        if holds(Rule::Freed) {
+        if is_enforced(Rule::FreeOnClose) {
             self.return_holdings(router);
         }
         self.expiry.push_router(self.at, router);
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -11,7 +11,7 @@
 use crate::ledger::record::Claim;
 use crate::ledger::record::Outcome;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
+use crate::ledger::rules::is_enforced;
 use crate::ledger::verdict::VoidReason;
 use crate::tokens::Tokens;
 
@@ -53,7 +53,7 @@
             return Err(VoidReason::OtherRequest);
         }
         if let Some(current) = &key.claim
-            && holds(Rule::First)
+            && is_enforced(Rule::FirstClaim)
         {
             return match self.is_open(current.router) {
                 true if current.router == router => Err(VoidReason::Mine),
@@ -64,10 +64,10 @@
             };
         }
         let once = key.once || !claim.idempotent;
-        if key.bill.is_some() && holds(Rule::Billed) && (once || key.reruns >= MAX_RERUNS) {
+        if key.bill.is_some() && is_enforced(Rule::Billed) && (once || key.reruns >= MAX_RERUNS) {
             return Err(VoidReason::Billed);
         }
-        if key.orphaned && once && holds(Rule::Orphan) {
+        if key.orphaned && once && is_enforced(Rule::OrphanClaim) {
             return Err(VoidReason::Unknown);
         }
         match key.refused {
@@ -118,14 +118,14 @@
     }
 
     fn check_refuse(&self, key: &KeyState) -> Result<(), VoidReason> {
-        if key.bill.is_some() && holds(Rule::BillRefusal) {
+        if key.bill.is_some() && is_enforced(Rule::BillRefusal) {
             return Err(VoidReason::Stands);
         }
-        if key.orphaned && holds(Rule::OrphanRefusal) {
+        if key.orphaned && is_enforced(Rule::OrphanRefusal) {
             return Err(VoidReason::Unknown);
         }
         match &key.claim {
-            Some(_) if holds(Rule::ClaimRefusal) => Err(VoidReason::Stands),
+            Some(_) if is_enforced(Rule::ClaimRefusal) => Err(VoidReason::Stands),
             _ => Ok(()),
         }
     }
@@ -140,13 +140,13 @@
     ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
         // More than was reserved is never charged: what was reserved is all that the team was known to have.
-        let amount = match holds(Rule::Cap) {
+        let amount = match is_enforced(Rule::BillCap) {
             true => amount.min(claim.reserved),
             false => amount,
         };
         self.unreserve(&claim, claim.reserved - amount);
         let state = self.key_mut(key);
-        if state.bill.is_some() && holds(Rule::FirstBill) {
+        if state.bill.is_some() && is_enforced(Rule::FirstBill) {
             self.charge_lost(&claim, amount);
         } else {
             state.bill = Some(Box::new(BillState {
@@ -169,7 +169,7 @@
             return;
         };
         state.orphaned = true;
-        if !claim.idempotent && holds(Rule::Orphan) {
+        if !claim.idempotent && is_enforced(Rule::OrphanClaim) {
             let kept = ClaimState {
                 reserved: Tokens::ZERO,
                 ..(*claim).clone()
@@ -220,7 +220,7 @@
 /// gives it away. Once a refusal was counted, an attempt without a number cannot be told from such a one.
 fn is_refused(claim: &Claim, offset: Offset, attempt: Attempt) -> bool {
     let counted = attempt != Attempt(0);
-    let late = offset > claim.seen && holds(Rule::Seen);
-    let earlier = counted && claim.attempt <= attempt && holds(Rule::Count);
+    let late = offset > claim.seen && is_enforced(Rule::SeenOffset);
+    let earlier = counted && claim.attempt <= attempt && is_enforced(Rule::AttemptNumber);
     late || earlier
 }
--- a/src/ledger/rules.rs
+++ b/src/ledger/rules.rs
@@ -8,15 +8,15 @@
     /// Nothing of a closed writer counts.
     Closed,
     /// The first claim of a request wins.
-    First,
+    FirstClaim,
     /// A billed request may not run again, or only so often.
     Billed,
     /// A claim is void if the request was refused above what its router had folded.
-    Seen,
+    SeenOffset,
     /// A claim is void if its attempt or a later one was refused.
-    Count,
+    AttemptNumber,
     /// A request that may not run twice is not claimed after a closed router claimed it.
-    Orphan,
+    OrphanClaim,
     /// A request that a closed router had claimed is not refused.
     OrphanRefusal,
     /// A claimed request is not refused.
@@ -32,25 +32,25 @@
     /// A claim reserves what its router holds at most.
     Reserve,
     /// A bill charges what was reserved at most.
-    Cap,
+    BillCap,
     /// A closed router holds nothing.
-    Freed,
+    FreeOnClose,
 }
 
 /// Tells whether a rule is in force: always, but in the model check.
 #[cfg(not(test))]
-pub(super) const fn holds(_: Rule) -> bool {
+pub(super) const fn is_enforced(_: Rule) -> bool {
     true
 }
 
 #[cfg(test)]
 thread_local! {
     /// The rule that is left out on this thread.
-    pub(super) static LEFT_OUT: std::cell::Cell<Option<Rule>> = const { std::cell::Cell::new(None) };
+    pub(super) static DISABLED_RULE: std::cell::Cell<Option<Rule>> = const { std::cell::Cell::new(None) };
 }
 
 /// Tells whether a rule is in force.
 #[cfg(test)]
-pub(super) fn holds(rule: Rule) -> bool {
-    LEFT_OUT.get() != Some(rule)
+pub(super) fn is_enforced(rule: Rule) -> bool {
+    DISABLED_RULE.get() != Some(rule)
 }
--- a/src/ledger/tests/mod.rs
+++ b/src/ledger/tests/mod.rs
@@ -8,16 +8,16 @@
 
 use crate::explore::Found;
 use crate::explore::explore;
-use crate::ledger::rules::LEFT_OUT;
+use crate::ledger::rules::DISABLED_RULE;
 use crate::ledger::rules::Rule;
 
 /// How many states each exploration may reach; those whose whole space is larger stop there, and say so.
 const BOUND: usize = 150_000;
 
 fn run(name: &str, world: World, rule: Option<Rule>) -> Found<Step> {
-    LEFT_OUT.set(rule);
+    DISABLED_RULE.set(rule);
     let found = explore(world, BOUND);
-    LEFT_OUT.set(None);
+    DISABLED_RULE.set(None);
     let Found {
         states,
         depth,
@@ -47,8 +47,8 @@
 #[test]
 fn a_request_that_may_run_again() {
     let rules = [
-        Rule::First,
-        Rule::Count,
+        Rule::FirstClaim,
+        Rule::AttemptNumber,
         Rule::OrphanRefusal,
         Rule::ClaimRefusal,
         Rule::BillRefusal,
@@ -60,7 +60,7 @@
 /// A disbursement is ordered three times, at two routers, one of which is closed while it lives or dies: it runs once.
 #[test]
 fn a_request_that_may_not_run_twice() {
-    let rules = [Rule::First, Rule::Billed, Rule::Orphan];
+    let rules = [Rule::FirstClaim, Rule::Billed, Rule::OrphanClaim];
     prove("once", &World::request(2, true, true), &rules);
 }
 
@@ -94,7 +94,7 @@
 #[test]
 fn tries_without_numbers_that_were_read() {
     let world = World::request(2, false, false).prompt();
-    prove("prompt", &world, &[Rule::Seen]);
+    prove("prompt", &world, &[Rule::SeenOffset]);
 }
 
 /// A router dispatches before its claim was accepted, or ends an answer before its bill was.
@@ -109,8 +109,8 @@
 /// Two requests, two routers and one budget, which is topped up in between: it is never exceeded.
 #[test]
 fn one_budget() {
-    let rules = [Rule::TopUp, Rule::Draw, Rule::Freed, Rule::Closed];
+    let rules = [Rule::TopUp, Rule::Draw, Rule::FreeOnClose, Rule::Closed];
     prove("budget", &World::budget(), &rules);
     let alone = World::budget().alone();
-    prove("budget alone", &alone, &[Rule::Reserve, Rule::Cap]);
+    prove("budget alone", &alone, &[Rule::Reserve, Rule::BillCap]);
 }
