--- a/src/ledger/tests/mod.rs
+++ b/src/ledger/tests/mod.rs
@@ -12,11 +12,11 @@
 use crate::ledger::rules::Rule;
 
 /// How many states each exploration may reach; those whose whole space is larger stop there, and say so.
-const BOUND: usize = 150_000;
+const MAX_STATES: usize = 150_000;
 
 fn run(name: &str, world: World, rule: Option<Rule>) -> Found<Step> {
     DISABLED_RULE.set(rule);
-    let found = explore(world, BOUND);
+    let found = explore(world, MAX_STATES);
     DISABLED_RULE.set(None);
     let Found {
         states,
@@ -33,7 +33,7 @@
 }
 
 /// What each test expects of a world: nothing broken with all rules, something without any one of `rules`.
-fn prove(name: &str, world: &World, rules: &[Rule]) {
+fn check(name: &str, world: &World, rules: &[Rule]) {
     let found = run(name, world.clone(), None);
     assert!(found.fault.is_none(), "{name}: {:?}", found.fault);
     for rule in rules {
@@ -54,29 +54,29 @@
         Rule::BillRefusal,
         Rule::FirstBill,
     ];
-    prove("again", &World::request(2, false, true), &rules);
+    check("again", &World::request(2, false, true), &rules);
 }
 
 /// A disbursement is ordered three times, at two routers, one of which is closed while it lives or dies: it runs once.
 #[test]
 fn a_request_that_may_not_run_twice() {
     let rules = [Rule::FirstClaim, Rule::Billed, Rule::OrphanClaim];
-    prove("once", &World::request(2, true, true), &rules);
+    check("once", &World::request(2, true, true), &rules);
 }
 
 /// A router releases its claim, and claims and runs the next try. A copy of the release, whose answer was lost, lands
 /// behind that claim and would end it: the disbursement could be claimed and run again.
 #[test]
 fn a_copy_that_lands_behind_later_records() {
-    let world = World::request(3, true, true).alone();
-    prove("copies", &world, &[Rule::Sequence]);
+    let world = World::request(3, true, true).single_router();
+    check("copies", &world, &[Rule::Sequence]);
 }
 
 /// Three tries of one request: as far as the bound goes.
 #[test]
 fn three_tries() {
-    prove("three again", &World::request(3, false, true), &[]);
-    prove("three once", &World::request(3, true, true), &[]);
+    check("three again", &World::request(3, false, true), &[]);
+    check("three once", &World::request(3, true, true), &[]);
 }
 
 /// A caller that does not count its tries: one of them lies on the network while a later one is refused, arrives after
@@ -94,7 +94,7 @@
 #[test]
 fn tries_without_numbers_that_were_read() {
     let world = World::request(2, false, false).prompt();
-    prove("prompt", &world, &[Rule::SeenOffset]);
+    check("prompt", &world, &[Rule::SeenOffset]);
 }
 
 /// A router dispatches before its claim was accepted, or ends an answer before its bill was.
@@ -110,7 +110,7 @@
 #[test]
 fn one_budget() {
     let rules = [Rule::TopUp, Rule::Draw, Rule::FreeOnClose, Rule::Closed];
-    prove("budget", &World::budget(), &rules);
-    let alone = World::budget().alone();
-    prove("budget alone", &alone, &[Rule::Reserve, Rule::BillCap]);
+    check("budget", &World::budget(), &rules);
+    let single = World::budget().single_router();
+    check("budget alone", &single, &[Rule::Reserve, Rule::BillCap]);
 }
--- a/src/ledger/tests/records.rs
+++ b/src/ledger/tests/records.rs
@@ -32,7 +32,7 @@
 }
 
 /// Returns a top-up of a team's budget.
-pub(super) fn topup(number: u64, of: u64, amount: u64) -> Record {
+pub(super) fn top_up(number: u64, of: u64, amount: u64) -> Record {
     Record::TopUp {
         id: format!("topup-{number}").parse().expect("a name"),
         team: team(of),
--- a/src/ledger/tests/world.rs
+++ b/src/ledger/tests/world.rs
@@ -25,7 +25,7 @@
 use crate::ledger::tests::records::key;
 use crate::ledger::tests::records::open;
 use crate::ledger::tests::records::team;
-use crate::ledger::tests::records::topup;
+use crate::ledger::tests::records::top_up;
 use crate::tokens::Tokens;
 
 /// Who closes routers and tops up.
@@ -68,7 +68,7 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-struct Try {
+struct AttemptState {
     key: u64,
     number: u64,
     team: u64,
@@ -94,7 +94,7 @@
     folded: [u64; 2],
     sent: [u64; 2],
     operator: u64,
-    tries: Vec<Try>,
+    tries: Vec<AttemptState>,
     net: Vec<Message>,
     closes: u8,
     repeats: u8,
@@ -114,7 +114,7 @@
 }
 
 impl World {
-    fn new(tries: Vec<Try>, once: bool) -> Self {
+    fn new(tries: Vec<AttemptState>, once: bool) -> Self {
         let mut world = Self {
             ledger: Ledger::default(),
             folded: [0; 2],
@@ -136,7 +136,7 @@
             hasty_dispatch: false,
             hasty_end: false,
         };
-        world.operate(open(OPERATOR));
+        world.append_as_operator(open(OPERATOR));
         for router in 0..2 {
             let batch = batch(incarnation(router).0, 1, open(router as u64));
             world.ledger.apply(world.ledger.next(), 0, &batch);
@@ -148,18 +148,18 @@
     /// One request that is tried `tries` times, each at the cost of another team, of which both routers hold enough.
     pub(super) fn request(tries: u64, once: bool, counted: bool) -> Self {
         let numbers = 1..=tries;
-        let list = numbers.map(|at| attempt(1, if counted { at } else { 0 }, at));
+        let list = numbers.map(|at| new_attempt(1, if counted { at } else { 0 }, at));
         let mut world = Self::new(list.collect(), once);
         world.prepaid = 9;
         for number in 1..=tries {
-            world.operate(topup(0, number, 9));
-            world.hold(team(number));
+            world.append_as_operator(top_up(0, number, 9));
+            world.draw_for_all(team(number));
         }
         world.folded = [world.ledger.next().0; 2];
         world
     }
 
-    fn hold(&mut self, team: TeamId) {
+    fn draw_for_all(&mut self, team: TeamId) {
         for router in 0..2 {
             self.sent[router] += 1;
             let want = Tokens(4);
@@ -172,13 +172,13 @@
 
     /// Two requests that cost one token each of a team that prepaid one, which the first router holds, and prepays one more some time.
     pub(super) fn budget() -> Self {
-        let mut world = Self::new(vec![attempt(1, 1, 1), attempt(2, 1, 1)], false);
-        world.operate(topup(0, 1, 1));
-        world.operate(topup(0, 1, 1));
+        let mut world = Self::new(vec![new_attempt(1, 1, 1), new_attempt(2, 1, 1)], false);
+        world.append_as_operator(top_up(0, 1, 1));
+        world.append_as_operator(top_up(0, 1, 1));
         world.prepaid = 1;
         world.topups = 2;
         world.draws = 2;
-        world.hold(team(1));
+        world.draw_for_all(team(1));
         world.folded = [world.ledger.next().0; 2];
         world
     }
@@ -189,7 +189,7 @@
     }
 
     /// Leaves one router, which is not closed.
-    pub(super) fn alone(mut self) -> Self {
+    pub(super) fn single_router(mut self) -> Self {
         self.routers = 1;
         self.closes = 0;
         self
@@ -229,7 +229,7 @@
             steps.push(Step::TopUp);
         }
         for at in 0..self.tries.len() {
-            self.try_steps(at, &mut steps);
+            self.attempt_steps(at, &mut steps);
         }
         for (at, message) in self.net.iter().enumerate() {
             if message.landed.is_none() || self.repeats > 0 {
@@ -239,7 +239,7 @@
         steps
     }
 
-    fn try_steps(&self, attempt: usize, steps: &mut Vec<Step>) {
+    fn attempt_steps(&self, attempt: usize, steps: &mut Vec<Step>) {
         let this = &self.tries[attempt];
         let write = self.may_write(this.router);
         let known = this.landed < self.folded[this.router];
@@ -272,7 +272,8 @@
 
     /// A caller sends its tries in order; it may have given up on the one before.
     fn is_next(&self, attempt: usize) -> bool {
-        let unread = |t: &Try| t.stage == Stage::New || (self.prompt && t.stage == Stage::Sent);
+        let unread =
+            |t: &AttemptState| t.stage == Stage::New || (self.prompt && t.stage == Stage::Sent);
         !self.tries[..attempt].iter().any(unread)
     }
 
@@ -294,23 +295,25 @@
             Step::Fold { router } => next.folded[router] = self.ledger.next().0,
             Step::Claim { attempt } => next.claim(attempt),
             Step::Refuse { attempt } => {
-                next.write_try(attempt, Stage::Refusing, |t| Record::Refuse {
+                next.write_attempt(attempt, Stage::Refusing, |t| Record::Refuse {
                     key: key(t.key),
                     attempt: Attempt(t.number),
                 })
             }
-            Step::Release { attempt } => next.write_try(attempt, Stage::Refusing, |t| {
+            Step::Release { attempt } => next.write_attempt(attempt, Stage::Refusing, |t| {
                 Record::Release { key: key(t.key) }
             }),
-            Step::Bill { attempt } => next.write_try(attempt, Stage::Billing, |t| Record::Bill {
-                key: key(t.key),
-                // More than was reserved, as after a miscount.
-                amount: Tokens(2),
-                outcome: Outcome::Whole,
-            }),
-            Step::Dispatch { attempt } => next.done(attempt, Stage::Running, |w| &mut w.ran),
-            Step::End { attempt } => next.done(attempt, Stage::Over, |w| &mut w.ended),
-            Step::Tell { attempt } => next.done(attempt, Stage::Over, |w| &mut w.told),
+            Step::Bill { attempt } => {
+                next.write_attempt(attempt, Stage::Billing, |t| Record::Bill {
+                    key: key(t.key),
+                    // More than was reserved, as after a miscount.
+                    amount: Tokens(2),
+                    outcome: Outcome::Whole,
+                })
+            }
+            Step::Dispatch { attempt } => next.finish(attempt, Stage::Running, |w| &mut w.ran),
+            Step::End { attempt } => next.finish(attempt, Stage::Over, |w| &mut w.ended),
+            Step::Tell { attempt } => next.finish(attempt, Stage::Over, |w| &mut w.told),
             Step::Draw { router } => {
                 next.draws -= 1;
                 let want = Tokens(1);
@@ -327,13 +330,13 @@
                 next.topups -= 1;
                 // The second time it is a repetition.
                 next.prepaid = 2;
-                next.operate(topup(1, 1, 1));
+                next.append_as_operator(top_up(1, 1, 1));
             }
             Step::Land { message } => return next.land(message).then_some(next),
             Step::Close { router } => {
                 next.closes -= 1;
                 let router = incarnation(router);
-                next.operate(Record::Close { router });
+                next.append_as_operator(Record::Close { router });
             }
         }
         Some(next)
@@ -343,7 +346,7 @@
         let this = &self.tries[attempt];
         let seen = Offset(self.folded[this.router] - 1);
         let once = self.once;
-        self.write_try(attempt, Stage::Claiming, |this| {
+        self.write_attempt(attempt, Stage::Claiming, |this| {
             Record::Claim(Claim {
                 key: key(this.key),
                 team: team(this.team),
@@ -357,9 +360,9 @@
         });
     }
 
-    fn write_try<F>(&mut self, attempt: usize, stage: Stage, record: F)
+    fn write_attempt<F>(&mut self, attempt: usize, stage: Stage, record: F)
     where
-        F: FnOnce(&Try) -> Record,
+        F: FnOnce(&AttemptState) -> Record,
     {
         let this = &mut self.tries[attempt];
         this.stage = stage;
@@ -379,7 +382,7 @@
         });
     }
 
-    fn done<F>(&mut self, attempt: usize, stage: Stage, list: F)
+    fn finish<F>(&mut self, attempt: usize, stage: Stage, list: F)
     where
         F: FnOnce(&mut Self) -> &mut Vec<usize>,
     {
@@ -399,33 +402,33 @@
         } = self.net[message].clone();
         let batch = batch(incarnation(router).0, sequence, record.clone());
         let verdicts = self.ledger.apply(at, 0, &batch);
-        let good = !matches!(verdicts[0], Verdict::Void(_));
+        let accepted = !matches!(verdicts[0], Verdict::Void(_));
         if landed.is_some() {
             self.repeats -= 1;
-            return good;
+            return accepted;
         }
         self.net[message].landed = Some(at.0);
         if let Some(attempt) = attempt {
             self.tries[attempt].landed = at.0;
-            self.tries[attempt].stage = self.stage_after(&record, good);
+            self.tries[attempt].stage = self.stage_after(&record, accepted);
         }
         true
     }
 
-    fn stage_after(&self, record: &Record, good: bool) -> Stage {
-        let unrun = |key| self.ledger.key(key).is_some_and(|k| k.never_ran());
+    fn stage_after(&self, record: &Record, accepted: bool) -> Stage {
+        let never_ran = |key| self.ledger.key(key).is_some_and(|k| k.never_ran());
         match record {
-            Record::Claim(_) if good => Stage::Claimed,
-            Record::Bill { .. } if good => Stage::Billed,
+            Record::Claim(_) if accepted => Stage::Claimed,
+            Record::Bill { .. } if accepted => Stage::Billed,
             // What was refused is proved by the record's own verdict; a release proves it of a request that nothing
             // else was known of.
-            Record::Refuse { .. } if good => Stage::Unrun,
-            Record::Release { key } if good && unrun(key) => Stage::Unrun,
+            Record::Refuse { .. } if accepted => Stage::Unrun,
+            Record::Release { key } if accepted && never_ran(key) => Stage::Unrun,
             _ => Stage::Over,
         }
     }
 
-    fn operate(&mut self, record: Record) {
+    fn append_as_operator(&mut self, record: Record) {
         self.operator += 1;
         let batch = batch(OPERATOR, self.operator, record);
         self.ledger.apply(self.ledger.next(), 0, &batch);
@@ -440,7 +443,7 @@
         );
         let bills = self.ledger.keys().filter(|(_, k)| k.bill.is_some()).count() as u64;
         let closed = self.ledger.routers().filter(|(_, r)| r.closed);
-        let rerun = |at: &usize| self.ran.iter().any(|ran| self.is_behind(*at, *ran));
+        let rerun = |at: &usize| self.ran.iter().any(|ran| self.is_covered(*at, *ran));
         if self.ledger.check_balances().is_err() || over {
             Some("a team was allotted more than it prepaid")
         } else if closed.into_iter().any(|(_, r)| !r.holdings.is_empty()) {
@@ -459,7 +462,7 @@
     }
 
     /// "Not run", said of a try, speaks of the request: of this try and of those before it.
-    fn is_behind(&self, told: usize, ran: usize) -> bool {
+    fn is_covered(&self, told: usize, ran: usize) -> bool {
         self.tries[told].key == self.tries[ran].key && ran <= told
     }
 
@@ -469,8 +472,8 @@
     }
 }
 
-fn attempt(key: u64, number: u64, team: u64) -> Try {
-    Try {
+fn new_attempt(key: u64, number: u64, team: u64) -> AttemptState {
+    AttemptState {
         key,
         number,
         team,
