--- a/src/ledger/tests/records.rs
+++ b/src/ledger/tests/records.rs
@@ -1,4 +1,4 @@
-//! Names and records of the model check, by number.
+//! Names and records for the model check, built from numbers.
 
 use crate::ids::Incarnation;
 use crate::ids::RequestKey;
@@ -8,7 +8,7 @@
 use crate::ledger::Record;
 use crate::tokens::Tokens;
 
-/// Returns the incarnation of a router by its number.
+/// Returns the incarnation of the router with this index.
 pub(super) fn incarnation(router: usize) -> Incarnation {
     Incarnation(router as u64 + 1)
 }
--- a/src/ledger/tests/world.rs
+++ b/src/ledger/tests/world.rs
@@ -1,10 +1,11 @@
-//! Two routers, a caller and the log, as far as the fold must get along with them.
+//! The model: two routers, a caller and the log, as far as they affect the fold.
 //!
-//! A record in flight lands at any time or never, in any order, and may land again, since its answer was lost: so a log
-//! outage is one in which nothing lands, and a peer that appends a dead router's records is one of them landing late.
-//! A router acts on what it has folded, which may be old. One that is paused takes no step, and goes on afterwards where
-//! it was; one that died takes none ever. A try that was sent lies on the network, or in the socket of its router, until
-//! that router reads it. Each try may charge another team or none: a selector changed in between.
+//! A record in flight is appended at any time or never, in any order, and possibly twice, since the response to an
+//! append may be lost. A log outage is a time without appends; a peer that appends a dead router's records is a late
+//! append. A router acts on the state that it has applied, which may be stale. A paused router takes no steps and
+//! continues afterwards from the same state; a dead one takes no more steps. An attempt that was sent stays on the
+//! network or in its router's socket until the router reads it. Each attempt may charge another team or none, since a
+//! selector may have changed in between.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_128;
@@ -28,10 +29,9 @@
 use crate::ledger::tests::records::top_up;
 use crate::tokens::Tokens;
 
-/// Who closes routers and tops up.
+/// The incarnation that closes routers and tops up budgets.
 const OPERATOR: u64 = 9;
 
-/// One thing that happens.
 #[derive(Clone, Debug)]
 pub(super) enum Step {
     Send { attempt: usize, router: usize },
@@ -50,7 +50,6 @@
     Close { router: usize },
 }
 
-/// How far a try has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 enum Stage {
     New,
@@ -74,11 +73,11 @@
     team: u64,
     stage: Stage,
     router: usize,
-    /// Where its last record landed.
+    /// The offset of its last record.
     landed: u64,
 }
 
-/// A record in flight, or one that landed and may land again.
+/// A record in flight, or an appended one of which a copy may be appended.
 #[derive(Clone, Debug, Serialize)]
 struct Message {
     router: usize,
@@ -98,11 +97,11 @@
     net: Vec<Message>,
     closes: u8,
     repeats: u8,
-    /// What the team may have prepaid so far.
+    /// The upper limit of what the team has prepaid so far.
     prepaid: u64,
     topups: u8,
     draws: u8,
-    /// Tries in the order of their dispatch, of their refusal and of their end.
+    /// Attempts in the order of their dispatch (`ran`), of their refusal (`told`) and of their end.
     ran: Vec<usize>,
     told: Vec<usize>,
     ended: Vec<usize>,
@@ -145,7 +144,7 @@
         world
     }
 
-    /// One request that is tried `tries` times, each at the cost of another team, of which both routers hold enough.
+    /// One request with `tries` attempts, each charged to another team of whose budget both routers hold enough.
     pub(super) fn request(tries: u64, once: bool, counted: bool) -> Self {
         let numbers = 1..=tries;
         let list = numbers.map(|at| new_attempt(1, if counted { at } else { 0 }, at));
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Two requests that cost one token each of a team that prepaid one, which the first router holds, and prepays one more some time.
+    /// Two requests of one token each; their team prepaid one, held by the first router, and prepays one more later.
     pub(super) fn budget() -> Self {
         let mut world = Self::new(vec![new_attempt(1, 1, 1), new_attempt(2, 1, 1)], false);
         world.append_as_operator(top_up(0, 1, 1));
@@ -188,14 +187,14 @@
         self
     }
 
-    /// Leaves one router, which is not closed.
+    /// Leaves one router, which is never closed.
     pub(super) fn single_router(mut self) -> Self {
         self.routers = 1;
         self.closes = 0;
         self
     }
 
-    /// Lets no try lie on the network, or unread in a socket, while the next one is sent.
+    /// Sends an attempt only when no earlier one is on the network or unread in a socket.
     pub(super) fn prompt(mut self) -> Self {
         self.prompt = true;
         self
@@ -210,7 +209,6 @@
         xxh3_128(&postcard::to_stdvec(self).expect("it can be encoded"))
     }
 
-    /// Lists what may happen next.
     pub(super) fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for router in 0..self.routers {
@@ -246,7 +244,7 @@
         match this.stage {
             Stage::New if self.is_next(attempt) => {
                 steps.push(Step::Send { attempt, router: 0 });
-                // The routers are alike, so the first try goes to the first.
+                // The routers are symmetric, so the first attempt always goes to the first.
                 if attempt > 0 && self.routers > 1 {
                     steps.push(Step::Send { attempt, router: 1 });
                 }
@@ -270,21 +268,21 @@
         }
     }
 
-    /// A caller sends its tries in order; it may have given up on the one before.
+    /// A caller sends its attempts in order; it may have given up on the previous one.
     fn is_next(&self, attempt: usize) -> bool {
         let unread =
             |t: &AttemptState| t.stage == Stage::New || (self.prompt && t.stage == Stage::Sent);
         !self.tries[..attempt].iter().any(unread)
     }
 
-    /// One batch in flight: the last one landed, and its router has folded it.
+    /// A router has one batch in flight: it writes again once the last one was appended and it has applied that batch.
     fn may_write(&self, router: usize) -> bool {
         let known = |at: u64| at < self.folded[router];
         let mut mine = self.net.iter().filter(|m| m.router == router);
         mine.all(|m| m.landed.is_some_and(known))
     }
 
-    /// Returns what comes of a step, or nothing where it changes nothing.
+    /// Returns the state after a step, or `None` if the step changes nothing.
     pub(super) fn take(&self, step: &Step) -> Option<Self> {
         let mut next = self.clone();
         match *step {
@@ -306,7 +304,7 @@
             Step::Bill { attempt } => {
                 next.write_attempt(attempt, Stage::Billing, |t| Record::Bill {
                     key: key(t.key),
-                    // More than was reserved, as after a miscount.
+                    // More than was reserved, as after a counting error.
                     amount: Tokens(2),
                     outcome: Outcome::Whole,
                 })
@@ -328,7 +326,7 @@
             }
             Step::TopUp => {
                 next.topups -= 1;
-                // The second time it is a repetition.
+                // The second top-up has the same id and is void.
                 next.prepaid = 2;
                 next.append_as_operator(top_up(1, 1, 1));
             }
@@ -390,7 +388,7 @@
         self.tries[attempt].stage = stage;
     }
 
-    /// Lands a record and tells whether that changed anything.
+    /// Appends a record in flight and returns whether that changed anything.
     fn land(&mut self, message: usize) -> bool {
         let at = self.ledger.next();
         let Message {
@@ -420,8 +418,7 @@
         match record {
             Record::Claim(_) if accepted => Stage::Claimed,
             Record::Bill { .. } if accepted => Stage::Billed,
-            // What was refused is proved by the record's own verdict; a release proves it of a request that nothing
-            // else was known of.
+            // A refusal itself proves that nothing ran; a release proves it only if the ledger shows no other run.
             Record::Refuse { .. } if accepted => Stage::Unrun,
             Record::Release { key } if accepted && never_ran(key) => Stage::Unrun,
             _ => Stage::Over,
@@ -434,7 +431,6 @@
         self.ledger.apply(self.ledger.next(), 0, &batch);
     }
 
-    /// Names what does not hold, if something does not.
     pub(super) fn broken(&self) -> Option<&'static str> {
         let teams = || self.ledger.teams().map(|(_, team)| team);
         let (spent, over) = (
@@ -449,9 +445,9 @@
         } else if closed.into_iter().any(|(_, r)| !r.holdings.is_empty()) {
             Some("a closed router holds tokens")
         } else if self.once && self.ran.len() > 1 {
-            Some("what may not run twice did")
+            Some("a non-idempotent request ran more than once")
         } else if self.told.iter().any(rerun) {
-            Some("what was told not to run ran")
+            Some("a request that was reported as not run has run")
         } else if spent > bills {
             Some("a request was billed twice")
         } else if self.ended.iter().any(|at| !self.is_billed(*at)) {
@@ -461,7 +457,7 @@
         }
     }
 
-    /// "Not run", said of a try, speaks of the request: of this try and of those before it.
+    /// Whether the answer "not run" to attempt `told` covers attempt `ran`: it covers itself and all earlier ones.
     fn is_covered(&self, told: usize, ran: usize) -> bool {
         self.tries[told].key == self.tries[ran].key && ran <= told
     }
