--- a/src/ledger/balances.rs
+++ b/src/ledger/balances.rs
@@ -1,4 +1,4 @@
-//! Whether a ledger adds up.
+//! Consistency check of a ledger's balances.
 
 use indexmap::IndexMap;
 
@@ -8,15 +8,15 @@
 use crate::tokens::Tokens;
 
 impl Ledger {
-    /// Tells which sum of the ledger does not add up, if one does not.
+    /// Checks that the holdings and reservations of every team add up.
     ///
-    /// The fold keeps the sums by its rules. What came over the network in a checkpoint may be damaged in a way that its
-    /// checksum does not show, and a router that took it would overspend or stop at the first subtraction.
+    /// The rules of the fold preserve this. A checkpoint from the network may be damaged in a way that its checksum
+    /// does not detect; a router that restored it would overspend or panic at the first subtraction.
     ///
     /// # Errors
     ///
-    /// Names a team whose holdings are not what is noted of them, exceed what it prepaid and has not used, or have
-    /// another amount set apart than the open claims reserve.
+    /// Returns a team whose holdings differ from the recorded sum, exceed its unused prepaid amount, or differ in their
+    /// claimed part from what open claims reserve.
     pub fn check_balances(&self) -> Result<(), TeamId> {
         let mut held: IndexMap<&TeamId, u128> = IndexMap::new();
         for (id, holding) in self.routers.values().flat_map(|r| &r.holdings) {
@@ -29,14 +29,14 @@
                 return Err(id.clone());
             }
         }
-        // What is held of a team that nobody topped up was made of nothing.
+        // A holding of a team that was never topped up has no budget behind it.
         if let Some((id, _)) = held.first() {
             return Err((*id).clone());
         }
         self.check_reservations()
     }
 
-    /// Tells whether each holding has set apart what the open claims on it reserve, and no more.
+    /// Checks that the claimed part of each holding equals the sum that its open claims reserve.
     fn check_reservations(&self) -> Result<(), TeamId> {
         let mut claimed: IndexMap<(Incarnation, &TeamId), u128> = IndexMap::new();
         for claim in self.keys.values().filter_map(|key| key.claim.as_ref()) {
--- a/src/ledger/budget.rs
+++ b/src/ledger/budget.rs
@@ -1,4 +1,4 @@
-//! The rules of budgets: a team's allotments never add up to more than it prepaid.
+//! Budget rules: a team's spending, losses and holdings never add up to more than it prepaid.
 
 use xxhash_rust::xxh3::Xxh3;
 
@@ -25,7 +25,7 @@
             return Err(VoidReason::Repeated);
         }
         let team = self.teams.entry(team.clone()).or_default();
-        // A sum that does not fit stays at the largest amount: a typing error must not stop the fleet.
+        // The sum saturates: an overflow caused by a mistyped amount must not stop the fleet.
         team.prepaid = team.prepaid.saturating_add(amount);
         Ok(())
     }
@@ -61,10 +61,10 @@
         Ok(())
     }
 
-    /// Moves a part of what the writer holds to another router.
+    /// Transfers part of the writer's holding to another router.
     ///
-    /// The number makes a transfer count once for the two routers as well: the lender tells the borrower of it by a
-    /// message that may be repeated, and either of them may append it.
+    /// The number makes a transfer take effect once: the lender notifies the borrower by a message that may be
+    /// repeated, and either of them may append the record.
     pub(super) fn lend(
         &mut self,
         router: Incarnation,
@@ -110,8 +110,9 @@
         Ok(())
     }
 
-    /// Sets a part of a router's holding apart for a claim and returns the ledger's own copy of the team's name, so that
-    /// a million requests do not each carry one. A call that costs nothing needs no holding.
+    /// Reserves part of a router's holding for a claim. A call that costs nothing needs no holding.
+    ///
+    /// Returns the ledger's own copy of the team name, so that a million requests do not each allocate one.
     pub(super) fn reserve(
         &mut self,
         router: Incarnation,
@@ -136,7 +137,7 @@
         Ok(name.clone())
     }
 
-    /// Takes `back` of a claim's reservation back into what its router may reserve.
+    /// Returns `amount` of a claim's reservation to the free part of its router's holding.
     pub(super) fn unreserve(&mut self, claim: &ClaimState, amount: Tokens) {
         if amount == Tokens::ZERO {
             return;
@@ -148,14 +149,14 @@
         }
     }
 
-    /// Takes `amount` of a claim's reservation out of the budget.
+    /// Charges `amount` of a claim's reservation to the team as spent.
     pub(super) fn spend(&mut self, claim: &ClaimState, amount: Tokens) {
         if let Some(team) = self.deduct_claimed(claim, amount) {
             team.spent += amount;
         }
     }
 
-    /// Takes `amount` of a claim's reservation as used without a bill.
+    /// Charges `amount` of a claim's reservation as used without a bill, or returns it if the operator bears the cost.
     pub(super) fn charge_lost(&mut self, claim: &ClaimState, amount: Tokens) {
         if claim.bearer == Bearer::House {
             return self.unreserve(claim, amount);
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Takes `amount` of a claim's reservation away from its router and returns the team, which has it now.
+    /// Deducts `amount` of a claim's reservation from its router's holding and returns the team to charge it to.
     fn deduct_claimed(&mut self, claim: &ClaimState, amount: Tokens) -> Option<&mut TeamState> {
         if amount == Tokens::ZERO {
             return None;
@@ -177,7 +178,7 @@
         Some(team)
     }
 
-    /// Gives all that a router holds back to the teams; its claims are settled by then.
+    /// Returns all holdings of a router to the teams; its claims must be settled before.
     pub(super) fn return_holdings(&mut self, router: Incarnation) {
         let Some(router) = self.routers.get_mut(&router) else {
             return;
@@ -190,13 +191,13 @@
     }
 }
 
-/// Stands for a top-up's name in the set of those that were added, which is kept for ever.
+/// Returns the hash that identifies a top-up in the set of applied top-ups, which is kept forever.
 ///
-/// The names themselves, an allocation each, would outgrow the budgets within months. Two names of the same 128 bits
-/// would let the second top-up add nothing; among a thousand million names the chance is one in 10^20.
+/// The ids themselves, an allocation each, would outgrow the budgets within months. On a collision of the 128 bits the
+/// second top-up would have no effect; among a thousand million ids the probability is one in 10^20.
 fn digest(team: &TeamId, id: &TopUpId) -> u128 {
     let mut hasher = Xxh3::new();
-    // No name has a zero byte, so the two cannot run into each other.
+    // Neither name can contain a zero byte, so it separates them unambiguously.
     hasher.update(team.as_str().as_bytes());
     hasher.update(&[0]);
     hasher.update(id.as_str().as_bytes());
--- a/src/ledger/checkpoint/assembler.rs
+++ b/src/ledger/checkpoint/assembler.rs
@@ -1,4 +1,4 @@
-//! Puts checkpoints together from their stream.
+//! Assembles checkpoints from the parts in their stream.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,30 +7,30 @@
 use crate::ledger::checkpoint::part::Part;
 use crate::ledger::fold::Ledger;
 
-/// How many unfinished checkpoints are kept: that of the router whose turn it is, and those of routers that took it for
-/// dead or were it.
+/// How many incomplete checkpoints are kept: that of the router whose turn it is, those of routers that assumed it
+/// dead, and those that dead routers left behind.
 const MAX_PARTIAL: usize = 4;
 
-/// A ledger that was put together.
+/// A ledger restored from a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restored {
-    /// The state; the ledger's stream goes on at its [`Ledger::next`].
+    /// The restored state; reading of the ledger's stream continues at its [`Ledger::next`].
     pub ledger: Ledger,
-    /// Where in the checkpoints' stream its first part stands.
+    /// The offset of the checkpoint's first part in the checkpoint stream.
     pub first: Offset,
 }
 
-/// Takes parts in the order of their stream and yields each whole state that is newer than the last one.
+/// Takes parts in stream order and returns each complete state that is newer than the last one.
 #[derive(Debug, Default)]
 pub struct Assembler {
     partial: IndexMap<CheckpointId, PartialCheckpoint>,
-    /// The end of the newest one that was whole.
+    /// The `as_of` of the newest restored checkpoint.
     newest: Option<Offset>,
-    /// How many whole ones were damaged all the same.
+    /// The number of complete checkpoints that could not be restored.
     damaged: u64,
 }
 
-/// What all parts of a checkpoint have in common.
+/// Identifies a checkpoint: the fields that all its parts share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct CheckpointId {
     as_of: Offset,
@@ -38,7 +38,7 @@
     whole: u64,
 }
 
-/// The parts of one checkpoint that have come so far.
+/// The parts of an incomplete checkpoint that were read so far.
 #[derive(Debug)]
 struct PartialCheckpoint {
     first: Offset,
@@ -46,17 +46,17 @@
 }
 
 impl Assembler {
-    /// Makes one that has seen nothing.
+    /// Creates an assembler without parts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how many checkpoints had all their parts and could not be read.
+    /// Returns the number of checkpoints that had all their parts but could not be restored.
     pub fn damaged(&self) -> u64 {
         self.damaged
     }
 
-    /// Takes the part at `offset` of the checkpoints' stream.
+    /// Adds the part at `offset` of the checkpoint stream; returns the ledger if this completes a newer checkpoint.
     pub fn push(&mut self, offset: Offset, part: Part) -> Option<Restored> {
         if !part.is_valid() || self.newest.is_some_and(|newest| part.as_of <= newest) {
             return None;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Drops the oldest unfinished one when there are too many.
+    /// Evicts the oldest incomplete checkpoint if there are too many.
     fn evict_oldest(&mut self) {
         if self.partial.len() <= MAX_PARTIAL {
             return;
--- a/src/ledger/checkpoint/mod.rs
+++ b/src/ledger/checkpoint/mod.rs
@@ -1,11 +1,11 @@
-//! Checkpoints: the whole state in a stream of its own, since the log lets old records go.
+//! Checkpoints: snapshots of the whole state in a stream of their own, since the log truncates old records.
 //!
-//! The same records give the same bytes on every router, so a checkpoint is named by the offset up to which it has
-//! folded and by the checksum of its bytes; who wrote which of its parts does not matter.
+//! The same records give the same bytes on every router. A checkpoint is therefore identified by the offset up to which
+//! it includes records and by the checksum of its bytes, no matter which router wrote which of its parts.
 //!
-//! The writer appends all parts, reads them back, puts them together and only then appends
-//! [`Record::Checkpoint`](super::Record::Checkpoint) to the ledger. Nothing older may be let go before that record was
-//! accepted: a checkpoint that was written but cannot be read, or whose writer died half-way, replaces none.
+//! The writer appends all parts, reads them back, assembles them and only then appends
+//! [`Record::Checkpoint`](super::Record::Checkpoint) to the ledger. Nothing older may be truncated before that record
+//! is accepted: a checkpoint that cannot be read, or whose writer died half-way, replaces no earlier one.
 
 mod assembler;
 mod part;
--- a/src/ledger/checkpoint/part.rs
+++ b/src/ledger/checkpoint/part.rs
@@ -1,4 +1,4 @@
-//! A checkpoint's parts, each one record of its stream.
+//! The parts of a checkpoint, each of them one record of the checkpoint stream.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,35 +9,36 @@
 use crate::ledger::codec::DecodeError;
 use crate::ledger::fold::Ledger;
 
-/// The most bytes of state in one part: large enough that 430,000 budgets are some hundred appends, small enough that
-/// one part does not hold up the appends of claims and bills behind it.
+/// The maximum bytes of state in one part: large enough that 430,000 budgets take about a hundred appends, and small
+/// enough that a part does not delay the appends of claims and bills queued after it.
 pub const MAX_PART_BYTES: usize = 256 * 1024;
 
-/// The most parts that a checkpoint may have, 256 MiB: a damaged count must not make a reader keep room for billions.
+/// The maximum number of parts in a checkpoint, 256 MiB in total: a corrupt count must not make a reader buffer
+/// billions of parts.
 pub const MAX_PARTS: u32 = 1024;
 
-/// The version of the encoding of parts and of the state in them, the first byte of each.
+/// The version of the encoding of parts and of the state in them, written as the first byte of each part.
 const PART_VERSION: u8 = 1;
 
 /// One part of a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// The offset of the first record that the state has not folded.
+    /// The offset of the first ledger record that the state does not include.
     pub as_of: Offset,
-    /// Its place among the parts, from 0.
+    /// The index of this part, from 0.
     pub index: u32,
-    /// How many parts there are.
+    /// The number of parts in the checkpoint.
     pub count: u32,
-    /// The checksum of the whole state's bytes.
+    /// The checksum of the bytes of the whole state.
     pub whole: u64,
-    /// The checksum of this part: of its bytes, and of all that says where they belong.
+    /// The checksum of this part: its bytes and all other fields.
     pub checksum: u64,
-    /// The bytes.
+    /// The part's bytes of the encoded state.
     pub bytes: Vec<u8>,
 }
 
 impl Part {
-    /// Returns whether it can be a part of anything: its place is among its parts and its bytes are undamaged.
+    /// Returns whether the index, count and size are within their limits and the checksum matches.
     pub(super) fn is_valid(&self) -> bool {
         self.index < self.count
             && self.count <= MAX_PARTS
@@ -61,11 +62,13 @@
     }
 }
 
-/// Cuts a ledger into parts of `size` bytes, [`MAX_PART_BYTES`] or less; none, where it would take more than [`MAX_PARTS`].
+/// Splits a ledger into parts of `size` bytes, at most [`MAX_PART_BYTES`].
+///
+/// Returns no parts if it would take more than [`MAX_PARTS`].
 ///
 /// # Panics
 ///
-/// Never: each part of a ledger can be encoded.
+/// Never: every ledger can be encoded.
 pub fn split(ledger: &Ledger, size: usize) -> Vec<Part> {
     let bytes = postcard::to_stdvec(ledger).expect("a ledger can be encoded");
     let whole = xxh3_64(&bytes);
@@ -92,7 +95,7 @@
 ///
 /// # Panics
 ///
-/// Never: each part can be encoded.
+/// Never: every part can be encoded.
 pub fn encode_part(part: &Part) -> Vec<u8> {
     let bytes = vec![PART_VERSION];
     postcard::to_extend(part, bytes).expect("a part can be encoded")
@@ -102,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// When the bytes are not exactly one part of this version, or its checksum does not fit.
+/// When the bytes are not exactly one part of the supported version, or the part is invalid.
 pub fn decode_part(bytes: &[u8]) -> Result<Part, DecodeError> {
     let (version, rest) = bytes.split_first().ok_or(DecodeError::Empty)?;
     if *version != PART_VERSION {
--- a/src/ledger/checkpoint/schedule.rs
+++ b/src/ledger/checkpoint/schedule.rs
@@ -1,39 +1,39 @@
 //! When to write a checkpoint, and which router writes it.
 //!
-//! Pattern: a ledger that grows by thousands of records a second, or by none for a weekend. Without a checkpoint the
-//! first makes a fresh router read for minutes, and in the second the log lets go of the only whole one while nobody
-//! notices; every VM that is replaced afterwards finds no budgets at all.
+//! A ledger may grow by thousands of records a second, or by none for a weekend. In the first case a new router would
+//! read for minutes without a recent checkpoint. In the second, the log would silently truncate the only complete
+//! checkpoint, and every VM that is replaced afterwards would find no budgets at all.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::ids::Incarnation;
 use crate::ledger::fold::Ledger;
 
-/// A checkpoint is due after a quarter of the log's retention. Half of the retention is then left when the last router
-/// in the order has had its turn, for outages of the log and for reading it.
+/// A checkpoint is due after a quarter of the log's retention. When the last router in the order has had its turn, half
+/// of the retention is left for outages of the log and for reading the checkpoint.
 const DUE_AGE_DIVISOR: u64 = 4;
 
-/// Each next router in the order waits for this part of the retention longer, eight at most.
+/// Each further router in the order waits for another 1/32 of the retention, for eight such turns at most.
 const TURN_DIVISOR: u64 = 32;
 
-/// The latest turn, in turns.
+/// The maximum number of turns that a router waits.
 const MAX_TURNS: u64 = 8;
 
-/// When checkpoints are written.
+/// Decides when checkpoints are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// How long the log keeps records, milliseconds.
+    /// How long the log keeps records.
     pub retention_ms: u64,
-    /// How many records of the stream, a batch each, may follow a checkpoint before the next one is due: what a fresh
-    /// router has to read and fold.
+    /// How many records of the stream, a batch each, may follow a checkpoint before the next one is due. It bounds what
+    /// a new router has to read and apply.
     pub max_records: u64,
 }
 
 impl Schedule {
-    /// Returns whether `router` is to write a checkpoint at `now`, milliseconds of the log service's clock as far as the
-    /// router can tell.
+    /// Returns whether `router` is to write a checkpoint at `now`, the router's estimate of the log service's clock in
+    /// milliseconds.
     ///
-    /// Several may write at once when turns overlap; that costs appends and nothing else.
+    /// Several routers may write at once when turns overlap; this only costs additional appends.
     pub fn is_due(&self, ledger: &Ledger, router: Incarnation, now: u64) -> bool {
         let Some(turn) = turn(ledger, router) else {
             return false;
@@ -43,13 +43,13 @@
         let records = ledger.next().0.saturating_sub(last.as_of.0);
         let wait = turn.min(MAX_TURNS) * (self.retention_ms / TURN_DIVISOR);
         let aged = age >= (self.retention_ms / DUE_AGE_DIVISOR).saturating_add(wait);
-        // A later turn's router steps in for a dead one by the number of records as well, at twice, three times as many.
+        // Routers with later turns also stand in for a dead one by record count: at twice, three times the limit etc.
         let grown = records >= self.max_records.saturating_mul(turn.min(MAX_TURNS) + 1);
         ledger.next().0 > 0 && (aged || grown)
     }
 }
 
-/// Returns a router's place in the order, which changes with each checkpoint.
+/// Returns a router's position in the writing order, which changes with each checkpoint.
 fn turn(ledger: &Ledger, router: Incarnation) -> Option<u64> {
     let seed = ledger.checkpoint().unwrap_or_default().as_of.0;
     let rank = |id: Incarnation| (xxh3_64(&(id.0 ^ seed.rotate_left(32)).to_le_bytes()), id);
--- a/src/ledger/codec.rs
+++ b/src/ledger/codec.rs
@@ -1,26 +1,26 @@
-//! Batches as bytes.
+//! Encoding and decoding of batches.
 
 use thiserror::Error;
 
 use crate::ledger::record::Batch;
 
-/// The version of the encoding, the first byte of each batch.
+/// The version of the encoding, written as the first byte of each batch.
 pub(crate) const CODEC_VERSION: u8 = 1;
 
-/// Tells why bytes from the log are no batch that this version reads.
+/// Why a record from the log cannot be decoded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// There are no bytes.
+    /// The record has no bytes.
     #[error("the record is empty")]
     Empty,
-    /// Another version of the program wrote it.
-    #[error("the record has version {0}, and {CODEC_VERSION} is read")]
+    /// The record has an encoding version that this program does not support.
+    #[error("unsupported record version {0}, expected {CODEC_VERSION}")]
     Version(u8),
-    /// The bytes are damaged.
-    #[error("the record cannot be read: {0}")]
+    /// The bytes are not a valid encoding.
+    #[error("invalid record encoding: {0}")]
     Damaged(postcard::Error),
-    /// The bytes of a checkpoint's part are not those that were written.
-    #[error("the part's checksum or place does not fit")]
+    /// The checksum or the index of a checkpoint part is wrong.
+    #[error("checksum or index of the checkpoint part is invalid")]
     Checksum,
 }
 
@@ -28,7 +28,7 @@
 ///
 /// # Panics
 ///
-/// Never: each part of a batch can be encoded.
+/// Never: every batch can be encoded.
 pub fn encode(batch: &Batch) -> Vec<u8> {
     let bytes = vec![CODEC_VERSION];
     postcard::to_extend(batch, bytes).expect("a batch can be encoded")
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// When the bytes are not exactly one batch of this version.
+/// When the bytes are not exactly one batch of the supported version.
 pub fn decode(bytes: &[u8]) -> Result<Batch, DecodeError> {
     let (version, rest) = bytes.split_first().ok_or(DecodeError::Empty)?;
     if *version != CODEC_VERSION {
--- a/src/ledger/expiry.rs
+++ b/src/ledger/expiry.rs
@@ -1,7 +1,7 @@
-//! What the ledger forgets, and when.
+//! Expiry of old state.
 //!
-//! Each queue is in the order of the log, so its front is the oldest and forgetting takes no search. An entry of a
-//! request that something happened to since is passed over; the later event left its own.
+//! Each queue is in log order, so its front is the oldest entry and expiry needs no search. An entry is skipped if its
+//! request has changed since; the later change queued an entry of its own.
 
 use std::collections::VecDeque;
 
@@ -14,26 +14,26 @@
 use crate::ids::RequestKey;
 use crate::ledger::fold::Ledger;
 
-/// How long a request that may run again is remembered after it was settled, in milliseconds of the log service's
-/// clock: twice the longest parting planned for, an hour, so that a caller that comes back from one finds its bill. At
-/// the size designed for, 3,800 requests a second, a day of them would fill any machine.
+/// How long an idempotent request is kept after it was settled, in milliseconds of the log service's clock: twice the
+/// longest supported network partition of one hour, so that a caller that reconnects after one still finds its bill. At
+/// the design load of 3,800 requests a second, a day of requests would not fit into memory.
 pub(crate) const KEY_RETENTION_MS: u64 = 2 * 60 * 60 * 1000;
 
-/// How long a request that may not run twice is remembered: a working day and the night after it.
+/// How long a non-idempotent request is kept after it was settled: a working day and the night after it.
 pub(crate) const ONCE_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// How long the state of a closed incarnation is shown, and a fingerprint stays in quarantine.
+/// How long the state of a closed incarnation and the crashes of a fingerprint are kept.
 pub(crate) const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// How many entries one batch takes off each queue, besides two for each of its records. A quiet night's entries all
-/// come due at once; taken at once they would stop a router for as long as it takes.
+/// How many entries a batch expires from each queue, besides two for each of its records. After a quiet night many
+/// entries are due at once; expiring all of them in one batch would block the router.
 const EXPIRED_PER_BATCH: usize = 16;
 
-/// The queues of what is to be forgotten.
+/// The expiry queues.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Expiry {
-    /// The latest record that may be forgotten: claims of routers that had not folded it are void, since what would
-    /// have made them void may be gone.
+    /// The latest offset whose effect may have expired. Claims by routers that had not applied it are void, since the
+    /// state that would have made them void may be gone.
     pub(super) horizon: Offset,
     keys: VecDeque<Settled>,
     once: VecDeque<Settled>,
@@ -41,7 +41,7 @@
     crashes: VecDeque<(u64, Fingerprint)>,
 }
 
-/// One request that was settled.
+/// A settled request that waits for its expiry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Settled {
     at: u64,
@@ -59,7 +59,7 @@
         queue.push_back(Settled { at, offset, key });
     }
 
-    /// Lets `share` replace each request's name by an equal one.
+    /// Lets `intern` replace each request key by a shared copy.
     pub(super) fn intern_keys<F>(&mut self, intern: F)
     where
         F: Fn(&mut RequestKey),
@@ -78,7 +78,7 @@
 }
 
 impl Ledger {
-    /// Forgets what is old, a bounded amount at a time.
+    /// Removes expired state, a bounded number of entries per batch.
     pub(super) fn expire(&mut self, records: usize) {
         let step = EXPIRED_PER_BATCH + 2 * records;
         for _ in 0..step {
@@ -127,9 +127,9 @@
         }
     }
 
-    /// Forgets a request, unless something happened to it since.
+    /// Removes a request, unless it has changed since the entry was queued.
     ///
-    /// One that is claimed stays: forgetting it would let it run again beside that run.
+    /// A claimed request is kept: without it, the request could be claimed again and run concurrently.
     fn forget(&mut self, settled: &Settled) {
         let Some((at, _, key)) = self.keys.get_full(&settled.key) else {
             return;
@@ -141,7 +141,7 @@
     }
 }
 
-/// Returns the time before which things are forgotten after `memory`.
+/// Returns the time before which entries have exceeded `retention`.
 fn cutoff(at: u64, retention: u64) -> u64 {
     at.saturating_sub(retention)
 }
--- a/src/ledger/fold.rs
+++ b/src/ledger/fold.rs
@@ -1,10 +1,9 @@
-//! The fold: what each record of a partition does.
+//! The fold: applies each record of a partition to the ledger's state.
 //!
-//! Every check that guards a change is made here, at the record's place in the log. A router may look first, to save
-//! an append, but what it saw is old by the time its record lands; only the fold decides.
+//! Every check that guards a change is made here, at the record's position in the log. A router may check beforehand to
+//! save an append, but its view may be stale by the time the record is appended; only the fold decides.
 //!
-//! This module admits batches and hands each record to the rule that it concerns: `budget`, `request` or
-//! `membership`.
+//! This module admits batches and dispatches each record to the rules in `budget`, `request` or `membership`.
 
 use std::cmp::Ordering;
 
@@ -33,18 +32,18 @@
 use crate::ledger::verdict::Verdict;
 use crate::ledger::verdict::VoidReason;
 
-/// A whole checkpoint, as the ledger knows it.
+/// A complete checkpoint that the ledger refers to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CheckpointInfo {
-    /// The offset of the first record of the ledger that it has not folded.
+    /// The offset of the first ledger record that the checkpoint does not include.
     pub as_of: Offset,
-    /// Where in the checkpoints' stream its first part stands.
+    /// The offset of its first part in the checkpoint stream.
     pub first: Offset,
-    /// When the ledger learnt of it, milliseconds of the log service's clock.
+    /// When its record was applied, in milliseconds of the log service's clock.
     pub at: u64,
 }
 
-/// One partition's state.
+/// The state of one partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     pub(super) next: Offset,
@@ -54,7 +53,7 @@
     pub(super) topups: IndexSet<u128>,
     pub(super) keys: IndexMap<RequestKey, KeyState>,
     pub(super) routers: IndexMap<Incarnation, RouterState>,
-    /// Closed incarnations of which nothing but the number is kept, see [`Ledger::admit_first`].
+    /// Closed incarnations whose state has expired, see [`Ledger::admit_first`].
     pub(super) gone: IndexSet<Incarnation>,
     pub(super) leaders: IndexMap<PoolId, (Incarnation, Offset)>,
     pub(super) crashes: IndexMap<Fingerprint, Crashes>,
@@ -63,22 +62,22 @@
 }
 
 impl Ledger {
-    /// Returns the offset of the next record that it wants.
+    /// Returns the offset of the next record to apply.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Returns the time of the last record, milliseconds of the log service's clock.
+    /// Returns the time of the last applied record, in milliseconds of the log service's clock.
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// Returns how many records could not be read and were passed over.
+    /// Returns the number of records that were skipped because they could not be decoded.
     pub fn unreadable(&self) -> u64 {
         self.unreadable
     }
 
-    /// Returns what is known of a team.
+    /// Returns the state of a team.
     pub fn team(&self, team: &TeamId) -> Option<&TeamState> {
         self.teams.get(team)
     }
@@ -88,17 +87,17 @@
         self.teams.iter()
     }
 
-    /// Returns what is known of a request.
+    /// Returns the state of a request.
     pub fn key(&self, key: &RequestKey) -> Option<&KeyState> {
         self.keys.get(key)
     }
 
-    /// Returns all requests that are remembered.
+    /// Returns all requests that have not expired.
     pub fn keys(&self) -> impl Iterator<Item = (&RequestKey, &KeyState)> {
         self.keys.iter()
     }
 
-    /// Returns what is known of a router's incarnation.
+    /// Returns the state of a router's incarnation.
     pub fn router(&self, router: Incarnation) -> Option<&RouterState> {
         self.routers.get(&router)
     }
@@ -113,7 +112,7 @@
         self.routers.get(&router).is_some_and(|r| !r.closed)
     }
 
-    /// Returns what a router has of a team's budget.
+    /// Returns a router's holding of a team's budget.
     pub fn holding(&self, router: Incarnation, team: &TeamId) -> Holding {
         self.routers
             .get(&router)
@@ -127,17 +126,17 @@
         self.leaders.get(pool).copied()
     }
 
-    /// Returns whether endpoints keep dying of requests of this fingerprint.
+    /// Returns whether requests of this fingerprint are quarantined because they crash endpoints.
     pub fn quarantined(&self, request: Fingerprint) -> bool {
         self.crashes.get(&request).is_some_and(Crashes::at_limit)
     }
 
-    /// Returns the newest whole checkpoint. Neither stream may let go of what stands behind it.
+    /// Returns the newest complete checkpoint. Neither stream may be truncated beyond it.
     pub fn checkpoint(&self) -> Option<CheckpointInfo> {
         self.checkpoint
     }
 
-    /// Passes over the record at `offset`, which cannot be read, and counts it.
+    /// Skips and counts the record at `offset`, which cannot be decoded.
     pub fn skip(&mut self, offset: Offset) {
         if offset == self.next {
             self.next = next_offset(offset);
@@ -145,10 +144,10 @@
         }
     }
 
-    /// Folds one batch and tells what became of each of its records.
+    /// Applies one batch and returns the verdict on each of its records.
     ///
-    /// `at` is the time that the log service gave the record, in milliseconds; it is the same for all who read it. Only
-    /// the record at [`Ledger::next`] is folded: an earlier one was folded before, and behind a gap nothing is known.
+    /// `at` is the timestamp that the log service gave the batch, in milliseconds; it is the same for all readers. Only
+    /// the batch at [`Ledger::next`] is applied: an earlier one was applied before, and a later one follows a gap.
     pub fn apply(&mut self, offset: Offset, at: u64, batch: &Batch) -> Vec<Verdict> {
         if let Err(void) = self.admit_offset(offset) {
             return vec![Verdict::Void(void); batch.records.len()];
@@ -171,10 +170,10 @@
         }
     }
 
-    /// Decides whether a batch counts.
+    /// Decides whether a batch takes effect.
     ///
-    /// An append whose answer was lost is repeated, and both copies may land; one that was slow may land behind a
-    /// later one. Counting only the next number makes each batch count once and in order.
+    /// An append whose response was lost is retried, and both copies may be stored; a slow one may be stored after a
+    /// later one. Admitting only the next sequence number applies each batch once and in order.
     fn admit(&mut self, batch: &Batch) -> Result<(), VoidReason> {
         match self.routers.get_mut(&batch.router) {
             None => self.admit_first(batch),
@@ -192,9 +191,9 @@
 
     /// Admits an incarnation's first batch, which must open it.
     ///
-    /// A late copy of a dead incarnation's first batch would bring it back to life, draw for it and close the router
-    /// that runs on its VM now. So the numbers of closed incarnations are never forgotten: at a few hundred restarts a
-    /// day they cost a few kilobytes a day.
+    /// A late duplicate of a closed incarnation's first batch would reopen it, draw budget for it and close the router
+    /// that now runs on its VM. The ids of closed incarnations therefore never expire: at a few hundred restarts a day
+    /// they take a few kilobytes a day.
     fn admit_first(&mut self, batch: &Batch) -> Result<(), VoidReason> {
         if self.gone.contains(&batch.router) {
             return Err(VoidReason::Closed);
@@ -225,7 +224,7 @@
             .collect()
     }
 
-    /// Folds one record; `is_first` says that it stands where an incarnation is_first.
+    /// Applies one record; `is_first` marks the first record of an incarnation's first batch, where it may open it.
     fn apply_record(
         &mut self,
         offset: Offset,
@@ -233,8 +232,8 @@
         record: &Record,
         is_first: bool,
     ) -> Verdict {
-        // A router may close itself, and what follows in the same batch is as void as what follows in the log: a draw
-        // behind it would be held by no one who could give it back.
+        // A router may close itself. Records after that in the same batch are void like those in later batches: no open
+        // router would hold the amount of a later draw, so it could not be returned.
         if !self.is_open(router) && is_enforced(Rule::Closed) {
             return Verdict::Void(VoidReason::Closed);
         }
@@ -271,10 +270,11 @@
 }
 
 impl Ledger {
-    /// Notes a whole checkpoint, so that what stands before it may be let go.
+    /// Records a complete checkpoint, so that both streams may be truncated before it.
     ///
-    /// A paused writer's announcement may land late, or be of a state that was old when it was written. Either stream may
-    /// then have let go of its parts or of the records behind it; so both its ends must lie behind those of the newest.
+    /// The record of a paused writer may be appended late, or refer to a state that was stale when it was written. The
+    /// checkpoint's parts or the ledger records after it may then be truncated already, so both of its offsets must be
+    /// higher than those of the newest checkpoint.
     fn note_checkpoint(&mut self, as_of: Offset, first: Offset) -> Result<(), VoidReason> {
         if let Some(newest) = self.checkpoint
             && (as_of <= newest.as_of || first <= newest.first)
@@ -290,7 +290,7 @@
     }
 }
 
-/// Returns the offset behind `offset`; the largest has none, and no log gets there.
+/// Returns the offset after `offset`. It saturates at the largest offset, which no log reaches.
 fn next_offset(offset: Offset) -> Offset {
     Offset(offset.0.saturating_add(1))
 }
--- a/src/ledger/intern.rs
+++ b/src/ledger/intern.rs
@@ -1,7 +1,7 @@
-//! One copy of each name.
+//! Interning of names after decoding.
 //!
-//! A name is decoded to an allocation of its own wherever it stands. Requests name a few accounts and teams again and
-//! again; with a copy each, a restored ledger would need several times the memory of the one that was written.
+//! Decoding allocates each occurrence of a name separately. Many requests refer to few accounts and teams; without
+//! interning, a restored ledger would take several times the memory of the ledger that was written.
 
 use indexmap::IndexSet;
 
@@ -10,7 +10,7 @@
 use crate::ledger::fold::Ledger;
 
 impl Ledger {
-    /// Makes equal names share their bytes, after decoding.
+    /// Makes equal names share one allocation.
     pub(super) fn intern_names(&mut self) {
         self.intern_keys();
         self.intern_teams();
--- a/src/ledger/key.rs
+++ b/src/ledger/key.rs
@@ -1,4 +1,4 @@
-//! One request, as the ledger knows it.
+//! The ledger's state of one request.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,35 +12,35 @@
 use crate::ledger::record::Outcome;
 use crate::tokens::Tokens;
 
-/// All that the ledger knows of one request.
+/// The state of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyState {
-    /// What was asked under the key.
+    /// The fingerprint of the request that was sent under the key.
     pub request: Option<Fingerprint>,
-    /// The claim that stands, if one does.
+    /// The open claim.
     pub claim: Option<Box<ClaimState>>,
-    /// The bill, once there is one.
+    /// The bill, once the request was billed.
     pub bill: Option<Box<BillState>>,
-    /// The last refusal: where it stands in the log, and the attempt that it refused.
+    /// The last refusal: its offset in the log, and the latest attempt that was refused.
     pub refused: Option<(Offset, Attempt)>,
-    /// Whether a router that was closed had claimed it, so that it may have run without a bill.
+    /// Whether a router was closed while it held a claim of the request, so that it may have run without a bill.
     pub orphaned: bool,
-    /// Whether a claim that counted said that it may not run twice. Two routers may disagree while a new configuration
-    /// spreads; the stricter one is believed.
+    /// Whether any accepted claim was marked as not idempotent. Two routers may disagree while a new configuration is
+    /// rolled out; the stricter one takes precedence.
     pub once: bool,
-    /// How often it ran again after its bill.
+    /// How many times it was claimed again after its bill.
     pub reruns: u8,
-    /// The record that last settled it, so that an older one's turn to be forgotten passes it over.
+    /// The offset of the record that last settled it; expiry entries of earlier records are skipped.
     pub(super) settled: Offset,
 }
 
 impl KeyState {
-    /// Returns whether the ledger proves that no attempt ran, nor will one that began before the refusal.
+    /// Returns whether the ledger proves that no attempt ran and that none that began before the refusal will run.
     pub fn never_ran(&self) -> bool {
         self.refused.is_some() && self.claim.is_none() && self.bill.is_none() && !self.orphaned
     }
 
-    /// Notes a refusal; one of an earlier attempt that comes later does not let a later attempt through.
+    /// Records a refusal. A late refusal of an earlier attempt does not lower the refused attempt number.
     pub(super) fn refuse(&mut self, offset: Offset, attempt: Attempt) {
         let before = self.refused.map(|(_, attempt)| attempt);
         self.refused = Some((offset, attempt.max(before.unwrap_or_default())));
@@ -50,26 +50,26 @@
 /// An open claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimState {
-    /// Whose it is.
+    /// The router that holds the claim.
     pub router: Incarnation,
-    /// Who pays.
+    /// The team that pays.
     pub team: TeamId,
-    /// What it reserves.
+    /// The reserved amount.
     pub reserved: Tokens,
-    /// The caller's count of its tries.
+    /// The caller's attempt number.
     pub attempt: Attempt,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Who bears what is used without a bill.
+    /// Who bears the cost of usage without a bill.
     pub bearer: Bearer,
 }
 
 /// The bill of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillState {
-    /// Who paid.
+    /// The team that paid.
     pub team: TeamId,
-    /// How much.
+    /// The charged amount.
     pub amount: Tokens,
     /// How the request ended.
     pub outcome: Outcome,
--- a/src/ledger/membership.rs
+++ b/src/ledger/membership.rs
@@ -1,4 +1,4 @@
-//! The rules of routers: who is open, who leads a pool, which requests endpoints die of.
+//! Membership rules: open routers, pool leaders, and the endpoint crashes that routers report.
 
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
@@ -11,7 +11,7 @@
 use crate::ledger::verdict::VoidReason;
 
 impl Ledger {
-    /// Ends what ran on the VM before: a VM runs one router, so an earlier incarnation there is dead.
+    /// Closes earlier incarnations on the same VM: a VM runs one router, so they are dead.
     pub(super) fn open(
         &mut self,
         offset: Offset,
@@ -30,10 +30,10 @@
         Ok(())
     }
 
-    /// Ends an incarnation.
+    /// Closes an incarnation.
     ///
-    /// What it held free goes back to the teams at once. What its open claims reserve may have been used, wholly or in
-    /// part, and whoever bears that is charged for all of it, since no one can tell how much.
+    /// The free part of its holdings returns to the teams at once. The reservations of its open claims may have been
+    /// used wholly or in part; since it is unknown how much, whoever bears the cost is charged for all of it.
     pub(super) fn close(&mut self, offset: Offset, router: Incarnation) -> Result<(), VoidReason> {
         let state = self.routers.get_mut(&router).ok_or(VoidReason::Absent)?;
         if state.closed {
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// Notes an endpoint's death; two routers that saw the same one count it once.
+    /// Records an endpoint's crash; reports of the same endpoint by two routers count once.
     pub(super) fn crash(
         &mut self,
         request: Fingerprint,
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,7 +1,7 @@
-//! The ledger: one partition's budgets, claims and bills.
+//! The ledger: the budgets, claims and bills of one partition.
 //!
-//! A partition is a stream of the log service. Its order is the agreement, and what it means is the pure, deterministic
-//! [`Ledger`]: every router folds the same records and so holds the same truth.
+//! A partition is a stream of the log service, which gives its records a total order. [`Ledger`] is a deterministic
+//! state machine: every router applies the same records in the same order and reaches the same state.
 
 mod balances;
 mod budget;
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -1,4 +1,4 @@
-//! What stands in the ledger's stream.
+//! Batches and records of the ledger's stream.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,56 +16,56 @@
 use crate::ids::VmId;
 use crate::tokens::Tokens;
 
-/// What one append to the stream carries: the records that a router gathered since its last one.
+/// One append to the stream: the records that a router collected since its last append.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Who wrote it.
+    /// The router that wrote it.
     pub router: Incarnation,
-    /// Its number among the router's batches in this stream.
+    /// Its sequence number among the router's batches in this stream.
     pub sequence: Sequence,
     /// The records, in order.
     pub records: Vec<Record>,
 }
 
-/// One record of the ledger; [`Ledger::apply`](super::Ledger::apply) gives each its effect.
+/// One record of the ledger, applied by [`Ledger::apply`](super::Ledger::apply).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// An incarnation begins; an earlier one on the same VM ends.
+    /// Opens an incarnation and closes earlier ones on the same VM.
     Open {
-        /// The VM that it runs on.
+        /// The VM that the router runs on.
         vm: VmId,
         /// The failure domain of that VM.
         domain: DomainId,
-        /// Where callers reach it, `ip:port`.
+        /// The address for callers, `ip:port`.
         address: String,
     },
-    /// Adds to a team's prepaid budget, once per name.
+    /// Adds to a team's prepaid budget, once per id.
     TopUp {
-        /// The top-up's name.
+        /// The id of the top-up.
         id: TopUpId,
-        /// Whose budget grows.
+        /// The team whose budget is topped up.
         team: TeamId,
-        /// By how much.
+        /// The amount to add.
         amount: Tokens,
     },
-    /// Asks for a part of a team's budget to hold.
+    /// Draws part of a team's budget into the router's holding.
     Draw {
-        /// Whose budget.
+        /// The team whose budget is drawn on.
         team: TeamId,
-        /// How much is wanted; less may be granted.
+        /// The requested amount; less may be granted.
         want: Tokens,
     },
-    /// Gives back a part of what the router holds.
+    /// Returns part of the router's holding to the team.
     Return {
-        /// Whose budget.
+        /// The team whose budget is returned.
         team: TeamId,
-        /// How much; what is reserved for claims stays.
+        /// The amount; it must be free, not reserved for claims.
         amount: Tokens,
     },
-    /// Takes a request for this router, before anything is dispatched.
+    /// Claims a request for this router, before anything is dispatched.
     Claim(Claim),
-    /// Ends the router's own claim of a request that it never dispatched. Whether the request is proved not to have run
-    /// is for [`KeyState::never_ran`](super::KeyState::never_ran): an earlier claim of it may have.
+    /// Ends the router's own claim of a request that it never dispatched. It does not prove that the request never ran,
+    /// since an earlier claim of it may have run; see [`KeyState::never_ran`](super::KeyState::never_ran).
     Release {
         /// The request.
         key: RequestKey,
@@ -74,51 +74,51 @@
     Refuse {
         /// The request.
         key: RequestKey,
-        /// The try that is refused; no later claim of it or of an earlier one counts.
+        /// The refused attempt; later claims of this attempt or of an earlier one are void.
         attempt: Attempt,
     },
-    /// Charges what a claimed request used.
+    /// Charges the usage of a claimed request.
     Bill {
         /// The request.
         key: RequestKey,
-        /// What it used.
+        /// The used amount.
         amount: Tokens,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
     },
-    /// Ends an incarnation: all of it that comes later in the log is void.
+    /// Closes an incarnation: its later records in the log are void.
     Close {
-        /// The incarnation that ends.
+        /// The incarnation to close.
         router: Incarnation,
     },
-    /// Makes the writer the leader of a pool's endpoints; the record's offset is its fencing number.
+    /// Makes the writer the leader of a pool's endpoints; the record's offset is the fencing token.
     Lead {
         /// The pool.
         pool: PoolId,
     },
-    /// An endpoint died while it ran a request of this fingerprint.
+    /// An endpoint crashed while it ran a request of this fingerprint.
     Crash {
-        /// What was run.
+        /// The fingerprint of the request.
         request: Fingerprint,
-        /// Where.
+        /// The endpoint that crashed.
         endpoint: VmId,
     },
-    /// Moves a part of what the router holds to another router.
+    /// Transfers part of the router's holding to another router.
     Lend {
-        /// Who gets it.
+        /// The borrower.
         to: Incarnation,
-        /// Whose budget.
+        /// The team whose budget is lent.
         team: TeamId,
-        /// How much.
+        /// The lent amount.
         amount: Tokens,
-        /// The transfer's number among the lender's, which only grow.
+        /// The transfer's number; the numbers of a lender increase strictly.
         number: u64,
     },
-    /// A checkpoint stands whole in its stream: its writer has read it back.
+    /// A checkpoint is complete in its stream: its writer has read it back.
     Checkpoint {
-        /// The offset of the first record that it has not folded.
+        /// The offset of the first ledger record that the checkpoint does not include.
         as_of: Offset,
-        /// Where in its stream its first part stands.
+        /// The offset of its first part in the checkpoint stream.
         first: Offset,
     },
 }
@@ -128,48 +128,48 @@
 pub struct Claim {
     /// The request.
     pub key: RequestKey,
-    /// Who pays.
+    /// The team that pays.
     pub team: TeamId,
-    /// The most that it can cost, taken out of what the router holds.
+    /// The maximum cost of the request, reserved from the router's holding.
     pub reserved: Tokens,
-    /// What is asked; another request under the same key is an error of the caller.
+    /// The fingerprint of the request; another request under the same key is an error of the caller.
     pub request: Fingerprint,
-    /// The last offset that the router had folded when the caller's attempt arrived; it takes none before it has folded
-    /// the one that opened it.
+    /// The last offset that the router had applied when the caller's attempt arrived. A router accepts no requests
+    /// before it has applied its own opening record.
     pub seen: Offset,
-    /// The caller's count of its tries.
+    /// The caller's attempt number.
     pub attempt: Attempt,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Who bears what is used without a bill.
+    /// Who bears the cost of usage without a bill.
     pub bearer: Bearer,
 }
 
-/// Tells who bears tokens that an engine used for a run which no bill stands for: a router died over it, or the
-/// request was billed before and ran again.
+/// Who bears the cost of tokens that an engine used for a run without a bill, because the router died during the run or
+/// because the request had been billed before and ran again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Bearer {
-    /// The team: its budget shrinks, so that even what engines used stays within what it prepaid.
+    /// The team: the tokens are deducted from its budget, so that total engine usage stays within what it prepaid.
     Team,
-    /// The house: the team gets them back, so that its budget buys answers alone.
+    /// The operator of the fleet: the tokens return to the team, so that its budget pays only for billed requests.
     House,
 }
 
 /// How a billed request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The whole answer was had.
+    /// The response was completed.
     Whole,
-    /// The run was cut off before its end: the caller hung up or the endpoint failed.
+    /// The run ended early: the caller disconnected or the endpoint failed.
     Cut,
-    /// A call that may not be repeated was answered, with this status and, where it is short, this body.
+    /// A non-idempotent call was answered with this status and, if it is short enough to be kept, this body.
     Answered {
         /// The HTTP status.
         status: u16,
-        /// The body, where it is short enough to be kept.
+        /// The body, if it is short enough to be kept.
         body: Option<Vec<u8>>,
     },
-    /// A call that may not be repeated was sent, and nobody knows whether it took effect.
+    /// A non-idempotent call was sent, and it is unknown whether it took effect.
     Unknown,
 }
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -1,4 +1,4 @@
-//! The rules of requests: each is billed at most once, and one that may not run twice is claimed at most once.
+//! Request rules: a request is billed at most once, and a non-idempotent request is run at most once.
 
 use crate::ids::Attempt;
 use crate::ids::Incarnation;
@@ -15,7 +15,8 @@
 use crate::ledger::verdict::VoidReason;
 use crate::tokens::Tokens;
 
-/// How often a request may run again after its bill. Without a bound, one paid key would buy any number of answers.
+/// How many times a request may run again after its bill. Without a limit, a caller could get any number of answers
+/// under one billed key.
 pub(crate) const MAX_RERUNS: u8 = 3;
 
 impl Ledger {
@@ -42,7 +43,7 @@
 
     /// Decides whether a request may be claimed.
     fn check_claim(&self, router: Incarnation, claim: &Claim) -> Result<(), VoidReason> {
-        // What stood in the log behind `seen` may be forgotten by now, a refusal or a bill of this request among it.
+        // Records after `seen` may have expired, possibly including a refusal or a bill of this request.
         if claim.seen < self.expiry.horizon {
             return Err(VoidReason::Refused);
         }
@@ -58,8 +59,8 @@
             return match self.is_open(current.router) {
                 true if current.router == router => Err(VoidReason::Mine),
                 true => Err(VoidReason::ClaimedBy(current.router)),
-                // Whoever had it is closed, and closing settled its reservation; only a request that may not run
-                // twice keeps such a claim.
+                // The router that held the claim is closed, and closing it settled the reservation. Only a
+                // non-idempotent request keeps its claim then.
                 false => Err(VoidReason::Unknown),
             };
         }
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Ends a claim of which nothing was dispatched. Where nothing else ran either, that is as good as a refusal.
+    /// Ends a claim for which nothing was dispatched. If nothing else of the request ran either, this is
+    /// equivalent to a refusal.
     pub(super) fn release(
         &mut self,
         offset: Offset,
@@ -98,11 +100,11 @@
 
     /// Settles that a request was not run.
     ///
-    /// A claim that was sent earlier may still land behind this record. It carries the offset that its router had
-    /// folded when the attempt arrived, which lies before this one, and is void.
+    /// A claim that was sent earlier may still be appended after this record. It is void, since it carries the offset
+    /// that its router had applied when the attempt arrived, which is before this one.
     ///
-    /// A request that a router had claimed when it was closed may have run, though nothing of it stands in the ledger
-    /// but that: a refusal of its retry would tell the caller of a run request that it was not.
+    /// A request whose router was closed while holding its claim may have run, although the ledger has no bill of it.
+    /// It must not be refused: the caller would be told that the request was not run.
     pub(super) fn refuse(
         &mut self,
         offset: Offset,
@@ -139,7 +141,7 @@
         outcome: &Outcome,
     ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
-        // More than was reserved is never charged: what was reserved is all that the team was known to have.
+        // The charge is capped at the reservation, the only amount that the team is known to have available.
         let amount = match is_enforced(Rule::BillCap) {
             true => amount.min(claim.reserved),
             false => amount,
@@ -160,9 +162,9 @@
         Ok(())
     }
 
-    /// Settles the claim of a router that is being closed.
+    /// Settles a claim of a router that is being closed.
     ///
-    /// The claim of a request that may not run twice stays, with nothing reserved, so that no one ever runs it again.
+    /// The claim of a non-idempotent request is kept with nothing reserved, so that the request is never run again.
     pub(super) fn orphan(&mut self, offset: Offset, key: &RequestKey) {
         let state = self.key_mut(key);
         let Some(claim) = state.claim.take() else {
@@ -204,7 +206,7 @@
         &mut self.keys[at]
     }
 
-    /// Notes when a request of which no claim is open may be forgotten.
+    /// Queues a settled request for expiry.
     fn schedule_expiry(&mut self, offset: Offset, key: &RequestKey, idempotent: bool) {
         let Some((_, key, state)) = self.keys.get_full_mut(key) else {
             return;
@@ -214,10 +216,11 @@
     }
 }
 
-/// Tells whether a refusal speaks of the attempt that a claim stands for.
+/// Returns whether a refusal applies to the attempt of a claim.
 ///
-/// An attempt that lay on the network arrives with a `seen` behind the refusal of a later one; only the caller's count
-/// gives it away. Once a refusal was counted, an attempt without a number cannot be told from such a one.
+/// An attempt that was delayed on the network may arrive with a `seen` after the refusal of a later attempt; only the
+/// attempt number shows that it is earlier. After a refusal with a number, an attempt without one cannot be told apart
+/// from such a delayed attempt and is refused as well.
 fn is_refused(claim: &Claim, offset: Offset, attempt: Attempt) -> bool {
     let counted = attempt != Attempt(0);
     let late = offset > claim.seen && is_enforced(Rule::SeenOffset);
--- a/src/ledger/router.rs
+++ b/src/ledger/router.rs
@@ -1,4 +1,4 @@
-//! One router's incarnation, as the ledger knows it.
+//! The ledger's state of one router incarnation.
 
 use indexmap::IndexMap;
 use indexmap::IndexSet;
@@ -13,32 +13,32 @@
 use crate::ledger::team::Holding;
 use crate::tokens::Tokens;
 
-/// One router's incarnation.
+/// The state of one router incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterState {
     /// The VM that it runs on.
     pub vm: VmId,
     /// The failure domain of that VM.
     pub domain: DomainId,
-    /// Where callers reach it.
+    /// The address for callers, `ip:port`.
     pub address: String,
-    /// The number of its last batch.
+    /// The sequence number of its last batch.
     pub sequence: Sequence,
-    /// Whether it is over.
+    /// Whether the incarnation is closed.
     pub closed: bool,
-    /// When it was last heard of in the log, milliseconds of the log service's clock.
+    /// The time of its last batch, in milliseconds of the log service's clock.
     pub(super) at: u64,
-    /// What it has of each team's budget. It stands here, not with the teams, so that closing a router walks over what
-    /// that one held and a budget that no one draws on costs nothing.
+    /// Its holding of each team's budget. Holdings are kept per router rather than per team, so that closing a router
+    /// iterates only over its own holdings and a budget that nobody draws on takes no space here.
     pub holdings: IndexMap<TeamId, Holding>,
-    /// The requests that it has claimed and not settled.
+    /// The requests that it has claimed and not yet settled.
     pub(super) claims: IndexSet<RequestKey>,
-    /// The number of the last holding that it lent.
+    /// The number of the last transfer that it made as a lender.
     pub lent: u64,
 }
 
 impl RouterState {
-    /// Makes the state of an incarnation that opens.
+    /// Creates the state of an incarnation that has just opened.
     pub(super) fn new(vm: &VmId, domain: &DomainId, address: &str, at: u64) -> Self {
         Self {
             vm: vm.clone(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tells whether a batch of this number is its next.
+    /// Returns whether `sequence` is the number of its next batch.
     pub(super) fn is_next(&self, sequence: Sequence) -> bool {
         self.sequence.0.checked_add(1) == Some(sequence.0)
     }
@@ -62,7 +62,7 @@
         self.holdings.entry(team.clone()).or_default()
     }
 
-    /// Takes `amount` of what is claimed of a team's budget away.
+    /// Deducts `amount` from the claimed part of a holding and removes the holding if it is empty.
     pub(super) fn take_claimed(&mut self, team: &TeamId, amount: Tokens) {
         let Some((at, _, holding)) = self.holdings.get_full_mut(team) else {
             return;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Forgets a holding of nothing, so that the state does not grow with each team that ever was drawn on.
+    /// Removes a team's holding if it is empty, so that the state does not grow with every team ever drawn on.
     pub(super) fn remove_empty_holding(&mut self, team: &TeamId) {
         if self.holdings.get(team) == Some(&Holding::default()) {
             self.holdings.swap_remove(team);
--- a/src/ledger/rules.rs
+++ b/src/ledger/rules.rs
@@ -1,43 +1,44 @@
-//! The fold's rules by name, so that the model check can leave each one out and must then find what it prevents.
+//! The fold's rules by name. The model check disables them one at a time and must then find the fault that the rule
+//! prevents.
 
 /// A rule of the fold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rule {
-    /// Only the writer's next batch counts.
+    /// Only the writer's next batch takes effect.
     Sequence,
-    /// Nothing of a closed writer counts.
+    /// Records of a closed writer are void.
     Closed,
     /// The first claim of a request wins.
     FirstClaim,
-    /// A billed request may not run again, or only so often.
+    /// A billed request may run again a limited number of times if it is idempotent, and otherwise not at all.
     Billed,
-    /// A claim is void if the request was refused above what its router had folded.
+    /// A claim is void if the request was refused after the offset that its router had applied.
     SeenOffset,
-    /// A claim is void if its attempt or a later one was refused.
+    /// A claim is void if its attempt number or a later one was refused.
     AttemptNumber,
-    /// A request that may not run twice is not claimed after a closed router claimed it.
+    /// A non-idempotent request cannot be claimed again after a router was closed while holding its claim.
     OrphanClaim,
-    /// A request that a closed router had claimed is not refused.
+    /// A request whose router was closed while holding its claim cannot be refused.
     OrphanRefusal,
-    /// A claimed request is not refused.
+    /// A claimed request cannot be refused.
     ClaimRefusal,
-    /// A billed request is not refused.
+    /// A billed request cannot be refused.
     BillRefusal,
-    /// The first bill of a request is its only one.
+    /// A request is billed only once.
     FirstBill,
-    /// A top-up adds once.
+    /// A top-up is applied once.
     TopUp,
-    /// A draw grants what is left at most.
+    /// A draw grants at most what is undrawn.
     Draw,
-    /// A claim reserves what its router holds at most.
+    /// A claim reserves at most the free part of its router's holding.
     Reserve,
-    /// A bill charges what was reserved at most.
+    /// A bill charges at most what was reserved.
     BillCap,
     /// A closed router holds nothing.
     FreeOnClose,
 }
 
-/// Tells whether a rule is in force: always, but in the model check.
+/// Returns whether a rule is enforced: always, except in the model check.
 #[cfg(not(test))]
 pub(super) const fn is_enforced(_: Rule) -> bool {
     true
@@ -45,11 +46,11 @@
 
 #[cfg(test)]
 thread_local! {
-    /// The rule that is left out on this thread.
+    /// The rule that is disabled on this thread.
     pub(super) static DISABLED_RULE: std::cell::Cell<Option<Rule>> = const { std::cell::Cell::new(None) };
 }
 
-/// Tells whether a rule is in force.
+/// Returns whether a rule is enforced.
 #[cfg(test)]
 pub(super) fn is_enforced(rule: Rule) -> bool {
     DISABLED_RULE.get() != Some(rule)
--- a/src/ledger/team.rs
+++ b/src/ledger/team.rs
@@ -1,20 +1,20 @@
-//! One team's budget.
+//! The budget of one team.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::tokens::Tokens;
 
-/// What a router has of a team's budget.
+/// The part of a team's budget that a router holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// What it may still reserve.
+    /// The amount available for reservations.
     pub free: Tokens,
-    /// What its open claims reserve.
+    /// The amount reserved by open claims.
     pub claimed: Tokens,
 }
 
-/// One team's budget: prepaid = spent + lost + what routers hold + what is left to draw.
+/// The budget of one team: `prepaid` = `spent` + `lost` + `held` + undrawn.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamState {
     /// The sum of its top-ups.
@@ -23,22 +23,22 @@
     pub spent: Tokens,
     /// What runs without a bill used, or may have used, at the team's cost.
     pub lost: Tokens,
-    /// What routers hold and have claimed, the sum over their holdings.
+    /// The sum of all routers' holdings, free and claimed.
     pub(super) held: Tokens,
 }
 
 impl TeamState {
-    /// Returns what routers hold and have claimed.
+    /// Returns the sum of all routers' holdings, free and claimed.
     pub fn held(&self) -> Tokens {
         self.held
     }
 
-    /// Returns what may still be drawn.
+    /// Returns the amount that may still be drawn.
     pub fn undrawn(&self) -> Tokens {
         self.unspent() - self.held
     }
 
-    /// Returns what the team has not spent, wherever it lies.
+    /// Returns the amount that is neither spent nor lost, whether drawn or not.
     pub fn unspent(&self) -> Tokens {
         self.prepaid - self.spent - self.lost
     }
--- a/src/ledger/verdict.rs
+++ b/src/ledger/verdict.rs
@@ -1,48 +1,49 @@
-//! What the fold says of a record.
+//! The result of applying a record.
 
 use crate::ids::Incarnation;
 use crate::tokens::Tokens;
 
-/// What became of one record.
+/// The result of applying one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It took effect.
     Accepted,
-    /// A draw took effect with this amount, which may be less than was wanted, or nothing.
+    /// A draw was granted this amount, which may be less than requested or zero.
     Granted(Tokens),
-    /// It changed nothing.
+    /// It had no effect.
     Void(VoidReason),
 }
 
-/// Why a record changed nothing.
+/// Why a record had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoidReason {
-    /// Its writer's incarnation is closed.
+    /// The writer's incarnation is closed.
     Closed,
-    /// Its batch was folded before, or does not follow the writer's last one.
+    /// The batch was applied before, or does not follow the writer's last one.
     Sequence,
-    /// The same took effect before: a top-up or a transfer of that name, an incarnation's opening or closing, a crash.
+    /// The same change took effect before: a top-up of this id, a transfer of this number, the opening or closing of an
+    /// incarnation, a crash, or a checkpoint that is not newer than the last one.
     Repeated,
-    /// The writer holds less than the claim reserves.
+    /// The free part of the writer's holding is less than the record requires.
     Holding,
-    /// Another living router has the request.
+    /// Another open router has claimed the request, or leads the pool.
     ClaimedBy(Incarnation),
-    /// The writer itself has the request already.
+    /// The writer itself has claimed the request already.
     Mine,
-    /// A router that is closed had claimed the request: nobody knows whether it ran.
+    /// A router was closed while holding a claim of the request: it is unknown whether the request ran.
     Unknown,
-    /// The request was billed, and it may not run again.
+    /// The request was billed and may not run again.
     Billed,
-    /// The request was refused after this attempt began, or the router's view is older than what the ledger remembers.
+    /// The request was refused after this attempt began, or the router's view is older than the expiry horizon.
     Refused,
-    /// The key stands for another request.
+    /// The key belongs to another request.
     OtherRequest,
-    /// The writer has no claim of the request.
+    /// The writer holds no claim of the request.
     NoClaim,
-    /// The request stands in the ledger, so it cannot be settled as not run.
+    /// The request is claimed or billed, so it cannot be settled as not run.
     Stands,
-    /// The record names an incarnation that is not known, or that is to get what only an open one may have.
+    /// The record refers to an unknown incarnation, or to a closed one where an open one is required.
     Absent,
-    /// Records before it are missing: the ledger must be restored from a checkpoint.
+    /// Earlier records are missing: the ledger must be restored from a checkpoint, or the checkpoint record is ahead.
     Gap,
 }
