--- a/src/ledger/expiry.rs
+++ b/src/ledger/expiry.rs
@@ -23,7 +23,7 @@
 pub(crate) const ONCE_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// How long the state of a closed incarnation and the crashes of a fingerprint are kept.
-pub(crate) const DAY_MS: u64 = 24 * 60 * 60 * 1000;
+pub(crate) const HISTORY_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// How many entries a batch expires from each queue, besides two for each of its records. After a quiet night many
 /// entries are due at once; expiring all of them in one batch would block the router.
@@ -106,7 +106,7 @@
     }
 
     fn expire_router(&mut self) {
-        let cutoff = cutoff(self.at, DAY_MS);
+        let cutoff = cutoff(self.at, HISTORY_RETENTION_MS);
         if let Some((_, router)) = self.expiry.routers.pop_front_if(|(at, _)| *at < cutoff) {
             self.routers.swap_remove(&router);
             self.gone.insert(router);
@@ -114,7 +114,7 @@
     }
 
     fn expire_crash(&mut self) {
-        let cutoff = cutoff(self.at, DAY_MS);
+        let cutoff = cutoff(self.at, HISTORY_RETENTION_MS);
         let Some((_, request)) = self.expiry.crashes.pop_front_if(|(at, _)| *at < cutoff) else {
             return;
         };
@@ -141,7 +141,7 @@
     }
 }
 
-/// Returns the time before which entries have exceeded `retention`.
-fn cutoff(at: u64, retention: u64) -> u64 {
-    at.saturating_sub(retention)
+/// Returns the time before which entries have exceeded `retention_ms`.
+fn cutoff(at: u64, retention_ms: u64) -> u64 {
+    at.saturating_sub(retention_ms)
 }
--- a/src/ledger/fold.rs
+++ b/src/ledger/fold.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the time of the last applied record, in milliseconds of the log service's clock.
-    pub fn at(&self) -> u64 {
+    pub fn time_ms(&self) -> u64 {
         self.at
     }
 
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -23,7 +23,7 @@
     pub(super) fn claim(&mut self, router: Incarnation, claim: &Claim) -> Result<(), VoidReason> {
         self.check_claim(router, claim)?;
         let team = self.reserve(router, &claim.team, claim.reserved)?;
-        let key = self.key_mut(&claim.key);
+        let key = self.key_or_default(&claim.key);
         key.request = Some(claim.request);
         key.once |= !claim.idempotent;
         key.reruns += u8::from(key.bill.is_some());
@@ -89,7 +89,7 @@
     ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
         self.unreserve(&claim, claim.reserved);
-        let state = self.key_mut(key);
+        let state = self.key_or_default(key);
         match state.bill {
             Some(_) => state.reruns = state.reruns.saturating_sub(1),
             None => state.refuse(offset, claim.attempt),
@@ -114,7 +114,7 @@
         if let Some(state) = self.keys.get(key) {
             self.check_refuse(state)?;
         }
-        self.key_mut(key).refuse(offset, attempt);
+        self.key_or_default(key).refuse(offset, attempt);
         self.schedule_expiry(offset, key, true);
         Ok(())
     }
@@ -147,7 +147,7 @@
             false => amount,
         };
         self.unreserve(&claim, claim.reserved - amount);
-        let state = self.key_mut(key);
+        let state = self.key_or_default(key);
         if state.bill.is_some() && is_enforced(Rule::FirstBill) {
             self.charge_lost(&claim, amount);
         } else {
@@ -166,7 +166,7 @@
     ///
     /// The claim of a non-idempotent request is kept with nothing reserved, so that the request is never run again.
     pub(super) fn orphan(&mut self, offset: Offset, key: &RequestKey) {
-        let state = self.key_mut(key);
+        let state = self.key_or_default(key);
         let Some(claim) = state.claim.take() else {
             return;
         };
@@ -198,7 +198,7 @@
         Ok(*claim)
     }
 
-    fn key_mut(&mut self, key: &RequestKey) -> &mut KeyState {
+    fn key_or_default(&mut self, key: &RequestKey) -> &mut KeyState {
         let at = match self.keys.get_index_of(key) {
             Some(at) => at,
             None => self.keys.insert_full(key.clone(), KeyState::default()).0,
--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -64,7 +64,7 @@
         let since = self
             .folded
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.ledger.at() + millis(since)
+        self.ledger.time_ms() + millis(since)
     }
 }
 
