--- a/src/ledger/checkpoint/schedule.rs
+++ b/src/ledger/checkpoint/schedule.rs
@@ -43,7 +43,7 @@
         let records = ledger.next().0.saturating_sub(last.as_of.0);
         let wait = turn.min(MAX_TURNS) * (self.retention_ms / TURN_DIVISOR);
         let aged = age >= (self.retention_ms / DUE_AGE_DIVISOR).saturating_add(wait);
-        // Routers with later turns also stand in for a dead one by record count: at twice, three times the limit etc.
+        // Routers with later turns also stand in for a dead one by record count: at twice the limit, three times etc.
         let grown = records >= self.max_records.saturating_mul(turn.min(MAX_TURNS) + 1);
         ledger.next().0 > 0 && (aged || grown)
     }
