--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -71,7 +71,7 @@
 
     /// Compares the sums as of the last record.
     pub(crate) fn check(&mut self) {
-        if let Err(team) = self.ledger.check_sums() {
+        if let Err(team) = self.ledger.check_balances() {
             let next = self.ledger.next();
             let text = format!("team {team}: its holdings do not add up before record {next}");
             self.violations.push(text);
@@ -134,7 +134,7 @@
 
 /// After the ledger may have forgotten a key, it stands for another request.
 fn is_remembered(before: Option<u64>, now: u64) -> bool {
-    before.is_some_and(|before| now <= before + ledger::KEY_MEMORY)
+    before.is_some_and(|before| now <= before + ledger::KEY_RETENTION_MS)
 }
 
 fn compare(
--- a/src/ledger/budget.rs
+++ b/src/ledger/budget.rs
@@ -1,4 +1,4 @@
-//! The rules of budgets: a team's allotments never add up to more than it prepaid.
+//! Budget rules: a team's spending, losses and holdings never add up to more than it prepaid.
 
 use xxhash_rust::xxh3::Xxh3;
 
@@ -9,9 +9,9 @@
 use crate::ledger::key::ClaimState;
 use crate::ledger::record::Bearer;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
+use crate::ledger::rules::is_enforced;
 use crate::ledger::team::TeamState;
-use crate::ledger::verdict::Void;
+use crate::ledger::verdict::VoidReason;
 use crate::tokens::Tokens;
 
 impl Ledger {
@@ -20,12 +20,12 @@
         id: &TopUpId,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<(), Void> {
-        if !self.topups.insert(digest(team, id)) && holds(Rule::TopUp) {
-            return Err(Void::Repeated);
+    ) -> Result<(), VoidReason> {
+        if !self.topups.insert(digest(team, id)) && is_enforced(Rule::TopUp) {
+            return Err(VoidReason::Repeated);
         }
         let team = self.teams.entry(team.clone()).or_default();
-        // A sum that does not fit stays at the largest amount: a typing error must not stop the fleet.
+        // The sum saturates: an overflow caused by a mistyped amount must not stop the fleet.
         team.prepaid = team.prepaid.saturating_add(amount);
         Ok(())
     }
@@ -34,7 +34,7 @@
         let Some((_, name, state)) = self.teams.get_full_mut(team) else {
             return Tokens::ZERO;
         };
-        let granted = match holds(Rule::Draw) {
+        let granted = match is_enforced(Rule::Draw) {
             true => want.min(state.undrawn()),
             false => want,
         };
@@ -43,17 +43,17 @@
         }
         state.held += granted;
         if let Some(router) = self.routers.get_mut(&router) {
-            router.holding(name).free += granted;
+            router.holding_mut(name).free += granted;
         }
         granted
     }
 
-    pub(super) fn give_back(
+    pub(super) fn return_tokens(
         &mut self,
         router: Incarnation,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         self.take_free(router, team, amount)?;
         if let Some(team) = self.teams.get_mut(team) {
             team.held -= amount;
@@ -61,10 +61,10 @@
         Ok(())
     }
 
-    /// Moves a part of what the writer holds to another router.
+    /// Transfers part of the writer's holding to another router.
     ///
-    /// The number makes a transfer count once for the two routers as well: the lender tells the borrower of it by a
-    /// message that may be repeated, and either of them may append it.
+    /// The number makes a transfer take effect once: the lender notifies the borrower by a message that may be
+    /// repeated, and either of them may append the record.
     pub(super) fn lend(
         &mut self,
         router: Incarnation,
@@ -72,23 +72,23 @@
         team: &TeamId,
         amount: Tokens,
         number: u64,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         if !self.is_open(to) {
-            return Err(Void::Absent);
+            return Err(VoidReason::Absent);
         }
-        let lender = self.routers.get(&router).ok_or(Void::Closed)?;
+        let lender = self.routers.get(&router).ok_or(VoidReason::Closed)?;
         if number <= lender.lent {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
-        let (_, name, _) = self.teams.get_full(team).ok_or(Void::Holding)?;
+        let (_, name, _) = self.teams.get_full(team).ok_or(VoidReason::Holding)?;
         let name = name.clone();
         self.take_free(router, team, amount)?;
         if let Some(lender) = self.routers.get_mut(&router) {
             lender.lent = number;
         }
         if let Some(borrower) = self.routers.get_mut(&to) {
-            borrower.holding(&name).free += amount;
-            borrower.tidy(&name);
+            borrower.holding_mut(&name).free += amount;
+            borrower.remove_empty_holding(&name);
         }
         Ok(())
     }
@@ -98,26 +98,27 @@
         router: Incarnation,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<(), Void> {
-        let router = self.routers.get_mut(&router).ok_or(Void::Closed)?;
+    ) -> Result<(), VoidReason> {
+        let router = self.routers.get_mut(&router).ok_or(VoidReason::Closed)?;
         let holding = router
             .holdings
             .get_mut(team)
             .filter(|holding| holding.free >= amount)
-            .ok_or(Void::Holding)?;
+            .ok_or(VoidReason::Holding)?;
         holding.free -= amount;
-        router.tidy(team);
+        router.remove_empty_holding(team);
         Ok(())
     }
 
-    /// Sets a part of a router's holding apart for a claim and returns the ledger's own copy of the team's name, so that
-    /// a million requests do not each carry one. A call that costs nothing needs no holding.
+    /// Reserves part of a router's holding for a claim. A call that costs nothing needs no holding.
+    ///
+    /// Returns the ledger's own copy of the team name, so that a million requests do not each allocate one.
     pub(super) fn reserve(
         &mut self,
         router: Incarnation,
         team: &TeamId,
         amount: Tokens,
-    ) -> Result<TeamId, Void> {
+    ) -> Result<TeamId, VoidReason> {
         let held = self
             .routers
             .get_mut(&router)
@@ -125,48 +126,48 @@
         let Some((_, name, holding)) = held else {
             return match amount {
                 Tokens::ZERO => Ok(team.clone()),
-                _ => Err(Void::Holding),
+                _ => Err(VoidReason::Holding),
             };
         };
-        if holding.free < amount && holds(Rule::Reserve) {
-            return Err(Void::Holding);
+        if holding.free < amount && is_enforced(Rule::Reserve) {
+            return Err(VoidReason::Holding);
         }
         holding.free -= amount;
         holding.claimed += amount;
         Ok(name.clone())
     }
 
-    /// Takes `back` of a claim's reservation back into what its router may reserve.
-    pub(super) fn unreserve(&mut self, claim: &ClaimState, back: Tokens) {
-        if back == Tokens::ZERO {
+    /// Returns `amount` of a claim's reservation to the free part of its router's holding.
+    pub(super) fn unreserve(&mut self, claim: &ClaimState, amount: Tokens) {
+        if amount == Tokens::ZERO {
             return;
         }
         let router = self.routers.get_mut(&claim.router);
         if let Some(holding) = router.and_then(|r| r.holdings.get_mut(&claim.team)) {
-            holding.claimed -= back;
-            holding.free += back;
+            holding.claimed -= amount;
+            holding.free += amount;
         }
     }
 
-    /// Takes `amount` of a claim's reservation out of the budget.
+    /// Charges `amount` of a claim's reservation to the team as spent.
     pub(super) fn spend(&mut self, claim: &ClaimState, amount: Tokens) {
-        if let Some(team) = self.leave(claim, amount) {
+        if let Some(team) = self.deduct_claimed(claim, amount) {
             team.spent += amount;
         }
     }
 
-    /// Takes `amount` of a claim's reservation as used without a bill.
-    pub(super) fn settle_lost(&mut self, claim: &ClaimState, amount: Tokens) {
+    /// Charges `amount` of a claim's reservation as used without a bill, or returns it if the operator bears the cost.
+    pub(super) fn charge_lost(&mut self, claim: &ClaimState, amount: Tokens) {
         if claim.bearer == Bearer::House {
             return self.unreserve(claim, amount);
         }
-        if let Some(team) = self.leave(claim, amount) {
+        if let Some(team) = self.deduct_claimed(claim, amount) {
             team.lost += amount;
         }
     }
 
-    /// Takes `amount` of a claim's reservation away from its router and returns the team, which has it now.
-    fn leave(&mut self, claim: &ClaimState, amount: Tokens) -> Option<&mut TeamState> {
+    /// Deducts `amount` of a claim's reservation from its router's holding and returns the team to charge it to.
+    fn deduct_claimed(&mut self, claim: &ClaimState, amount: Tokens) -> Option<&mut TeamState> {
         if amount == Tokens::ZERO {
             return None;
         }
@@ -177,8 +178,8 @@
         Some(team)
     }
 
-    /// Gives all that a router holds back to the teams; its claims are settled by then.
-    pub(super) fn free_holdings(&mut self, router: Incarnation) {
+    /// Returns all holdings of a router to the teams; its claims must be settled before.
+    pub(super) fn return_holdings(&mut self, router: Incarnation) {
         let Some(router) = self.routers.get_mut(&router) else {
             return;
         };
@@ -190,13 +191,13 @@
     }
 }
 
-/// Stands for a top-up's name in the set of those that were added, which is kept for ever.
+/// Returns the hash that identifies a top-up in the set of applied top-ups, which is kept forever.
 ///
-/// The names themselves, an allocation each, would outgrow the budgets within months. Two names of the same 128 bits
-/// would let the second top-up add nothing; among a thousand million names the chance is one in 10^20.
+/// The ids themselves, an allocation each, would outgrow the budgets within months. On a collision of the 128 bits the
+/// second top-up would have no effect; among a thousand million ids the probability is one in 10^20.
 fn digest(team: &TeamId, id: &TopUpId) -> u128 {
     let mut hasher = Xxh3::new();
-    // No name has a zero byte, so the two cannot run into each other.
+    // Neither name can contain a zero byte, so it separates them unambiguously.
     hasher.update(team.as_str().as_bytes());
     hasher.update(&[0]);
     hasher.update(id.as_str().as_bytes());
--- a/src/ledger/checkpoint/assembler.rs
+++ b/src/ledger/checkpoint/assembler.rs
@@ -1,4 +1,4 @@
-//! Puts checkpoints together from their stream.
+//! Assembles checkpoints from the parts in their stream.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,81 +7,84 @@
 use crate::ledger::checkpoint::part::Part;
 use crate::ledger::fold::Ledger;
 
-/// How many unfinished checkpoints are kept: that of the router whose turn it is, and those of routers that took it for
-/// dead or were it.
-const MAX_OPEN: usize = 4;
+/// How many incomplete checkpoints are kept: that of the router whose turn it is, those of routers that assumed it
+/// dead, and those that dead routers left behind.
+const MAX_PARTIAL: usize = 4;
 
-/// A ledger that was put together.
+/// A ledger restored from a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restored {
-    /// The state; the ledger's stream goes on at its [`Ledger::next`].
+    /// The restored state; reading of the ledger's stream continues at its [`Ledger::next`].
     pub ledger: Ledger,
-    /// Where in the checkpoints' stream its first part stands.
+    /// The offset of the checkpoint's first part in the checkpoint stream.
     pub first: Offset,
 }
 
-/// Takes parts in the order of their stream and yields each whole state that is newer than the last one.
+/// Takes parts in stream order and returns each complete state that is newer than the last one.
 #[derive(Debug, Default)]
 pub struct Assembler {
-    open: IndexMap<Name, Pile>,
-    /// The end of the newest one that was whole.
+    partial: IndexMap<CheckpointId, PartialCheckpoint>,
+    /// The `as_of` of the newest restored checkpoint.
     newest: Option<Offset>,
-    /// How many whole ones were damaged all the same.
+    /// The number of complete checkpoints that could not be restored.
     damaged: u64,
 }
 
-/// What all parts of a checkpoint have in common.
+/// Identifies a checkpoint: the fields that all its parts share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Name {
+struct CheckpointId {
     as_of: Offset,
     count: u32,
     whole: u64,
 }
 
-/// The parts of one checkpoint that have come so far.
+/// The parts of an incomplete checkpoint that were read so far.
 #[derive(Debug)]
-struct Pile {
+struct PartialCheckpoint {
     first: Offset,
     parts: IndexMap<u32, Vec<u8>>,
 }
 
 impl Assembler {
-    /// Makes one that has seen nothing.
+    /// Creates an assembler without parts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how many checkpoints had all their parts and could not be read.
+    /// Returns the number of checkpoints that had all their parts but could not be restored.
     pub fn damaged(&self) -> u64 {
         self.damaged
     }
 
-    /// Takes the part at `offset` of the checkpoints' stream.
+    /// Adds the part at `offset` of the checkpoint stream; returns the ledger if this completes a newer checkpoint.
     pub fn push(&mut self, offset: Offset, part: Part) -> Option<Restored> {
-        if !part.is_sound() || self.newest.is_some_and(|newest| part.as_of <= newest) {
+        if !part.is_valid() || self.newest.is_some_and(|newest| part.as_of <= newest) {
             return None;
         }
-        let name = Name {
+        let id = CheckpointId {
             as_of: part.as_of,
             count: part.count,
             whole: part.whole,
         };
-        let pile = self.open.entry(name).or_insert_with(|| Pile::new(offset));
-        pile.parts.insert(part.index, part.bytes);
-        if pile.parts.len() as u64 == u64::from(name.count) {
-            return self.finish(name);
+        let partial = self
+            .partial
+            .entry(id)
+            .or_insert_with(|| PartialCheckpoint::new(offset));
+        partial.parts.insert(part.index, part.bytes);
+        if partial.parts.len() as u64 == u64::from(id.count) {
+            return self.finish(id);
         }
-        self.bound();
+        self.evict_oldest();
         None
     }
 
-    fn finish(&mut self, name: Name) -> Option<Restored> {
-        let pile = self.open.shift_remove(&name)?;
-        let first = pile.first;
-        match pile.restore(name) {
+    fn finish(&mut self, id: CheckpointId) -> Option<Restored> {
+        let partial = self.partial.shift_remove(&id)?;
+        let first = partial.first;
+        match partial.restore(id) {
             Some(ledger) => {
-                self.newest = Some(name.as_of);
-                self.open.retain(|other, _| other.as_of > name.as_of);
+                self.newest = Some(id.as_of);
+                self.partial.retain(|other, _| other.as_of > id.as_of);
                 Some(Restored { ledger, first })
             }
             None => {
@@ -91,18 +94,18 @@
         }
     }
 
-    /// Drops the oldest unfinished one when there are too many.
-    fn bound(&mut self) {
-        if self.open.len() <= MAX_OPEN {
+    /// Evicts the oldest incomplete checkpoint if there are too many.
+    fn evict_oldest(&mut self) {
+        if self.partial.len() <= MAX_PARTIAL {
             return;
         }
-        if let Some(oldest) = self.open.keys().min_by_key(|name| name.as_of).copied() {
-            self.open.shift_remove(&oldest);
+        if let Some(oldest) = self.partial.keys().min_by_key(|id| id.as_of).copied() {
+            self.partial.shift_remove(&oldest);
         }
     }
 }
 
-impl Pile {
+impl PartialCheckpoint {
     fn new(first: Offset) -> Self {
         Self {
             first,
@@ -110,17 +113,17 @@
         }
     }
 
-    fn restore(mut self, name: Name) -> Option<Ledger> {
+    fn restore(mut self, id: CheckpointId) -> Option<Ledger> {
         self.parts.sort_unstable_keys();
         let bytes: Vec<u8> = self.parts.into_values().flatten().collect();
-        if xxh3_64(&bytes) != name.whole {
+        if xxh3_64(&bytes) != id.whole {
             return None;
         }
         let mut ledger: Ledger = postcard::from_bytes(&bytes).ok()?;
-        if ledger.next() != name.as_of || ledger.check_sums().is_err() {
+        if ledger.next() != id.as_of || ledger.check_balances().is_err() {
             return None;
         }
-        ledger.share_names();
+        ledger.intern_names();
         Some(ledger)
     }
 }
--- a/src/ledger/fold.rs
+++ b/src/ledger/fold.rs
@@ -1,10 +1,9 @@
-//! The fold: what each record of a partition does.
+//! The fold: applies each record of a partition to the ledger's state.
 //!
-//! Every check that guards a change is made here, at the record's place in the log. A router may look first, to save
-//! an append, but what it saw is old by the time its record lands; only the fold decides.
+//! Every check that guards a change is made here, at the record's position in the log. A router may check beforehand to
+//! save an append, but its view may be stale by the time the record is appended; only the fold decides.
 //!
-//! This module admits batches and hands each record to the rule that it concerns: `budget`, `request` or
-//! `membership`.
+//! This module admits batches and dispatches each record to the rules in `budget`, `request` or `membership`.
 
 use std::cmp::Ordering;
 
@@ -27,24 +26,24 @@
 use crate::ledger::record::Record;
 use crate::ledger::router::RouterState;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
+use crate::ledger::rules::is_enforced;
 use crate::ledger::team::Holding;
 use crate::ledger::team::TeamState;
 use crate::ledger::verdict::Verdict;
-use crate::ledger::verdict::Void;
+use crate::ledger::verdict::VoidReason;
 
-/// A whole checkpoint, as the ledger knows it.
+/// A complete checkpoint that the ledger refers to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Checkpointed {
-    /// The offset of the first record of the ledger that it has not folded.
+pub struct CheckpointInfo {
+    /// The offset of the first ledger record that the checkpoint does not include.
     pub as_of: Offset,
-    /// Where in the checkpoints' stream its first part stands.
+    /// The offset of its first part in the checkpoint stream.
     pub first: Offset,
-    /// When the ledger learnt of it, milliseconds of the log service's clock.
+    /// When its record was applied, in milliseconds of the log service's clock.
     pub at: u64,
 }
 
-/// One partition's state.
+/// The state of one partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     pub(super) next: Offset,
@@ -54,31 +53,31 @@
     pub(super) topups: IndexSet<u128>,
     pub(super) keys: IndexMap<RequestKey, KeyState>,
     pub(super) routers: IndexMap<Incarnation, RouterState>,
-    /// Closed incarnations of which nothing but the number is kept, see [`Ledger::admit_first`].
+    /// Closed incarnations whose state has expired, see [`Ledger::admit_first`].
     pub(super) gone: IndexSet<Incarnation>,
     pub(super) leaders: IndexMap<PoolId, (Incarnation, Offset)>,
     pub(super) crashes: IndexMap<Fingerprint, Crashes>,
     pub(super) expiry: Expiry,
-    pub(super) checkpoint: Option<Checkpointed>,
+    pub(super) checkpoint: Option<CheckpointInfo>,
 }
 
 impl Ledger {
-    /// Returns the offset of the next record that it wants.
+    /// Returns the offset of the next record to apply.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Returns the time of the last record, milliseconds of the log service's clock.
-    pub fn at(&self) -> u64 {
+    /// Returns the time of the last applied record, in milliseconds of the log service's clock.
+    pub fn time_ms(&self) -> u64 {
         self.at
     }
 
-    /// Returns how many records could not be read and were passed over.
+    /// Returns the number of records that were skipped because they could not be decoded.
     pub fn unreadable(&self) -> u64 {
         self.unreadable
     }
 
-    /// Returns what is known of a team.
+    /// Returns the state of a team.
     pub fn team(&self, team: &TeamId) -> Option<&TeamState> {
         self.teams.get(team)
     }
@@ -88,17 +87,17 @@
         self.teams.iter()
     }
 
-    /// Returns what is known of a request.
+    /// Returns the state of a request.
     pub fn key(&self, key: &RequestKey) -> Option<&KeyState> {
         self.keys.get(key)
     }
 
-    /// Returns all requests that are remembered.
+    /// Returns all requests that have not expired.
     pub fn keys(&self) -> impl Iterator<Item = (&RequestKey, &KeyState)> {
         self.keys.iter()
     }
 
-    /// Returns what is known of a router's incarnation.
+    /// Returns the state of a router's incarnation.
     pub fn router(&self, router: Incarnation) -> Option<&RouterState> {
         self.routers.get(&router)
     }
@@ -113,7 +112,7 @@
         self.routers.get(&router).is_some_and(|r| !r.closed)
     }
 
-    /// Returns what a router has of a team's budget.
+    /// Returns a router's holding of a team's budget.
     pub fn holding(&self, router: Incarnation, team: &TeamId) -> Holding {
         self.routers
             .get(&router)
@@ -127,60 +126,60 @@
         self.leaders.get(pool).copied()
     }
 
-    /// Returns whether endpoints keep dying of requests of this fingerprint.
+    /// Returns whether requests of this fingerprint are quarantined because they crash endpoints.
     pub fn quarantined(&self, request: Fingerprint) -> bool {
         self.crashes.get(&request).is_some_and(Crashes::at_limit)
     }
 
-    /// Returns the newest whole checkpoint. Neither stream may let go of what stands behind it.
-    pub fn checkpoint(&self) -> Option<Checkpointed> {
+    /// Returns the newest complete checkpoint. Neither stream may be truncated beyond it.
+    pub fn checkpoint(&self) -> Option<CheckpointInfo> {
         self.checkpoint
     }
 
-    /// Passes over the record at `offset`, which cannot be read, and counts it.
+    /// Skips and counts the record at `offset`, which cannot be decoded.
     pub fn skip(&mut self, offset: Offset) {
         if offset == self.next {
-            self.next = after(offset);
+            self.next = next_offset(offset);
             self.unreadable = self.unreadable.saturating_add(1);
         }
     }
 
-    /// Folds one batch and tells what became of each of its records.
+    /// Applies one batch and returns the verdict on each of its records.
     ///
-    /// `at` is the time that the log service gave the record, in milliseconds; it is the same for all who read it. Only
-    /// the record at [`Ledger::next`] is folded: an earlier one was folded before, and behind a gap nothing is known.
+    /// `at` is the timestamp that the log service gave the batch, in milliseconds; it is the same for all readers. Only
+    /// the batch at [`Ledger::next`] is applied: an earlier one was applied before, and a later one follows a gap.
     pub fn apply(&mut self, offset: Offset, at: u64, batch: &Batch) -> Vec<Verdict> {
         if let Err(void) = self.admit_offset(offset) {
             return vec![Verdict::Void(void); batch.records.len()];
         }
-        self.next = after(offset);
+        self.next = next_offset(offset);
         self.at = self.at.max(at);
         let verdicts = match self.admit(batch) {
-            Ok(()) => self.records(offset, batch),
+            Ok(()) => self.apply_records(offset, batch),
             Err(void) => vec![Verdict::Void(void); batch.records.len()],
         };
         self.expire(batch.records.len());
         verdicts
     }
 
-    fn admit_offset(&self, offset: Offset) -> Result<(), Void> {
+    fn admit_offset(&self, offset: Offset) -> Result<(), VoidReason> {
         match offset.cmp(&self.next) {
-            Ordering::Less => Err(Void::Sequence),
+            Ordering::Less => Err(VoidReason::Sequence),
             Ordering::Equal => Ok(()),
-            Ordering::Greater => Err(Void::Gap),
+            Ordering::Greater => Err(VoidReason::Gap),
         }
     }
 
-    /// Decides whether a batch counts.
+    /// Decides whether a batch takes effect.
     ///
-    /// An append whose answer was lost is repeated, and both copies may land; one that was slow may land behind a
-    /// later one. Counting only the next number makes each batch count once and in order.
-    fn admit(&mut self, batch: &Batch) -> Result<(), Void> {
+    /// An append whose response was lost is retried, and both copies may be stored; a slow one may be stored after a
+    /// later one. Admitting only the next sequence number applies each batch once and in order.
+    fn admit(&mut self, batch: &Batch) -> Result<(), VoidReason> {
         match self.routers.get_mut(&batch.router) {
             None => self.admit_first(batch),
-            Some(router) if router.closed && holds(Rule::Closed) => Err(Void::Closed),
-            Some(router) if !router.follows(batch.sequence) && holds(Rule::Sequence) => {
-                Err(Void::Sequence)
+            Some(router) if router.closed && is_enforced(Rule::Closed) => Err(VoidReason::Closed),
+            Some(router) if !router.is_next(batch.sequence) && is_enforced(Rule::Sequence) => {
+                Err(VoidReason::Sequence)
             }
             Some(router) => {
                 router.sequence = batch.sequence;
@@ -192,15 +191,15 @@
 
     /// Admits an incarnation's first batch, which must open it.
     ///
-    /// A late copy of a dead incarnation's first batch would bring it back to life, draw for it and close the router
-    /// that runs on its VM now. So the numbers of closed incarnations are never forgotten: at a few hundred restarts a
-    /// day they cost a few kilobytes a day.
-    fn admit_first(&mut self, batch: &Batch) -> Result<(), Void> {
+    /// A late duplicate of a closed incarnation's first batch would reopen it, draw budget for it and close the router
+    /// that now runs on its VM. The ids of closed incarnations therefore never expire: at a few hundred restarts a day
+    /// they take a few kilobytes a day.
+    fn admit_first(&mut self, batch: &Batch) -> Result<(), VoidReason> {
         if self.gone.contains(&batch.router) {
-            return Err(Void::Closed);
+            return Err(VoidReason::Closed);
         }
         if batch.sequence != Sequence(1) {
-            return Err(Void::Sequence);
+            return Err(VoidReason::Sequence);
         }
         let Some(Record::Open {
             vm,
@@ -208,42 +207,42 @@
             address,
         }) = batch.records.first()
         else {
-            return Err(Void::Closed);
+            return Err(VoidReason::Closed);
         };
         let state = RouterState::new(vm, domain, address, self.at);
         self.routers.insert(batch.router, state);
         Ok(())
     }
 
-    fn records(&mut self, offset: Offset, batch: &Batch) -> Vec<Verdict> {
+    fn apply_records(&mut self, offset: Offset, batch: &Batch) -> Vec<Verdict> {
         let first = batch.sequence == Sequence(1);
         batch
             .records
             .iter()
             .enumerate()
-            .map(|(at, record)| self.record(offset, batch.router, record, first && at == 0))
+            .map(|(at, record)| self.apply_record(offset, batch.router, record, first && at == 0))
             .collect()
     }
 
-    /// Folds one record; `opens` says that it stands where an incarnation opens.
-    fn record(
+    /// Applies one record; `is_first` marks the first record of an incarnation's first batch, where it may open it.
+    fn apply_record(
         &mut self,
         offset: Offset,
         router: Incarnation,
         record: &Record,
-        opens: bool,
+        is_first: bool,
     ) -> Verdict {
-        // A router may close itself, and what follows in the same batch is as void as what follows in the log: a draw
-        // behind it would be held by no one who could give it back.
-        if !self.is_open(router) && holds(Rule::Closed) {
-            return Verdict::Void(Void::Closed);
+        // A router may close itself. Records after that in the same batch are void like those in later batches: no open
+        // router would hold the amount of a later draw, so it could not be returned.
+        if !self.is_open(router) && is_enforced(Rule::Closed) {
+            return Verdict::Void(VoidReason::Closed);
         }
-        let done = match record {
+        let result = match record {
             Record::Draw { team, want } => return Verdict::Granted(self.draw(router, team, *want)),
-            Record::Open { vm, .. } if opens => self.open(offset, router, vm),
-            Record::Open { .. } => Err(Void::Repeated),
+            Record::Open { vm, .. } if is_first => self.open(offset, router, vm),
+            Record::Open { .. } => Err(VoidReason::Repeated),
             Record::TopUp { id, team, amount } => self.top_up(id, team, *amount),
-            Record::Return { team, amount } => self.give_back(router, team, *amount),
+            Record::Return { team, amount } => self.return_tokens(router, team, *amount),
             Record::Lend {
                 to,
                 team,
@@ -261,9 +260,9 @@
             Record::Close { router } => self.close(offset, *router),
             Record::Lead { pool } => self.lead(offset, router, pool),
             Record::Crash { request, endpoint } => self.crash(*request, endpoint),
-            Record::Checkpoint { as_of, first } => self.checkpointed(*as_of, *first),
+            Record::Checkpoint { as_of, first } => self.note_checkpoint(*as_of, *first),
         };
-        match done {
+        match result {
             Ok(()) => Verdict::Accepted,
             Err(void) => Verdict::Void(void),
         }
@@ -271,26 +270,27 @@
 }
 
 impl Ledger {
-    /// Notes a whole checkpoint, so that what stands before it may be let go.
+    /// Records a complete checkpoint, so that both streams may be truncated before it.
     ///
-    /// A paused writer's announcement may land late, or be of a state that was old when it was written. Either stream may
-    /// then have let go of its parts or of the records behind it; so both its ends must lie behind those of the newest.
-    fn checkpointed(&mut self, as_of: Offset, first: Offset) -> Result<(), Void> {
+    /// The record of a paused writer may be appended late, or refer to a state that was stale when it was written. The
+    /// checkpoint's parts or the ledger records after it may then be truncated already, so both of its offsets must be
+    /// higher than those of the newest checkpoint.
+    fn note_checkpoint(&mut self, as_of: Offset, first: Offset) -> Result<(), VoidReason> {
         if let Some(newest) = self.checkpoint
             && (as_of <= newest.as_of || first <= newest.first)
         {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
         if as_of > self.next {
-            return Err(Void::Gap);
+            return Err(VoidReason::Gap);
         }
         let at = self.at;
-        self.checkpoint = Some(Checkpointed { as_of, first, at });
+        self.checkpoint = Some(CheckpointInfo { as_of, first, at });
         Ok(())
     }
 }
 
-/// Returns the offset behind `offset`; the largest has none, and no log gets there.
-fn after(offset: Offset) -> Offset {
+/// Returns the offset after `offset`. It saturates at the largest offset, which no log reaches.
+fn next_offset(offset: Offset) -> Offset {
     Offset(offset.0.saturating_add(1))
 }
--- a/src/ledger/membership.rs
+++ b/src/ledger/membership.rs
@@ -1,4 +1,4 @@
-//! The rules of routers: who is open, who leads a pool, which requests endpoints die of.
+//! Membership rules: open routers, pool leaders, and the endpoint crashes that routers report.
 
 use crate::ids::Fingerprint;
 use crate::ids::Incarnation;
@@ -7,17 +7,17 @@
 use crate::ids::VmId;
 use crate::ledger::fold::Ledger;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
-use crate::ledger::verdict::Void;
+use crate::ledger::rules::is_enforced;
+use crate::ledger::verdict::VoidReason;
 
 impl Ledger {
-    /// Ends what ran on the VM before: a VM runs one router, so an earlier incarnation there is dead.
+    /// Closes earlier incarnations on the same VM: a VM runs one router, so they are dead.
     pub(super) fn open(
         &mut self,
         offset: Offset,
         router: Incarnation,
         vm: &VmId,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         let earlier: Vec<_> = self
             .routers
             .iter()
@@ -30,24 +30,24 @@
         Ok(())
     }
 
-    /// Ends an incarnation.
+    /// Closes an incarnation.
     ///
-    /// What it held free goes back to the teams at once. What its open claims reserve may have been used, wholly or in
-    /// part, and whoever bears that is charged for all of it, since no one can tell how much.
-    pub(super) fn close(&mut self, offset: Offset, router: Incarnation) -> Result<(), Void> {
-        let state = self.routers.get_mut(&router).ok_or(Void::Absent)?;
+    /// The free part of its holdings returns to the teams at once. The reservations of its open claims may have been
+    /// used wholly or in part; since it is unknown how much, whoever bears the cost is charged for all of it.
+    pub(super) fn close(&mut self, offset: Offset, router: Incarnation) -> Result<(), VoidReason> {
+        let state = self.routers.get_mut(&router).ok_or(VoidReason::Absent)?;
         if state.closed {
-            return Err(Void::Repeated);
+            return Err(VoidReason::Repeated);
         }
         state.closed = true;
         let claims = std::mem::take(&mut state.claims);
         for key in &claims {
             self.orphan(offset, key);
         }
-        if holds(Rule::Freed) {
-            self.free_holdings(router);
+        if is_enforced(Rule::FreeOnClose) {
+            self.return_holdings(router);
         }
-        self.expiry.close(self.at, router);
+        self.expiry.push_router(self.at, router);
         Ok(())
     }
 
@@ -56,24 +56,28 @@
         offset: Offset,
         router: Incarnation,
         pool: &PoolId,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         if let Some((leader, _)) = self.leaders.get(pool)
             && *leader != router
             && self.is_open(*leader)
         {
-            return Err(Void::ClaimedBy(*leader));
+            return Err(VoidReason::ClaimedBy(*leader));
         }
         self.leaders.insert(pool.clone(), (router, offset));
         Ok(())
     }
 
-    /// Notes an endpoint's death; two routers that saw the same one count it once.
-    pub(super) fn crash(&mut self, request: Fingerprint, endpoint: &VmId) -> Result<(), Void> {
+    /// Records an endpoint's crash; reports of the same endpoint by two routers count once.
+    pub(super) fn crash(
+        &mut self,
+        request: Fingerprint,
+        endpoint: &VmId,
+    ) -> Result<(), VoidReason> {
         let crashes = self.crashes.entry(request).or_default();
-        if !crashes.note(endpoint) {
-            return Err(Void::Repeated);
+        if !crashes.add(endpoint) {
+            return Err(VoidReason::Repeated);
         }
-        self.expiry.crash(self.at, request);
+        self.expiry.push_crash(self.at, request);
         Ok(())
     }
 }
--- a/src/ledger/request.rs
+++ b/src/ledger/request.rs
@@ -1,4 +1,4 @@
-//! The rules of requests: each is billed at most once, and one that may not run twice is claimed at most once.
+//! Request rules: a request is billed at most once, and a non-idempotent request is run at most once.
 
 use crate::ids::Attempt;
 use crate::ids::Incarnation;
@@ -11,18 +11,19 @@
 use crate::ledger::record::Claim;
 use crate::ledger::record::Outcome;
 use crate::ledger::rules::Rule;
-use crate::ledger::rules::holds;
-use crate::ledger::verdict::Void;
+use crate::ledger::rules::is_enforced;
+use crate::ledger::verdict::VoidReason;
 use crate::tokens::Tokens;
 
-/// How often a request may run again after its bill. Without a bound, one paid key would buy any number of answers.
+/// How many times a request may run again after its bill. Without a limit, a caller could get any number of answers
+/// under one billed key.
 pub(crate) const MAX_RERUNS: u8 = 3;
 
 impl Ledger {
-    pub(super) fn claim(&mut self, router: Incarnation, claim: &Claim) -> Result<(), Void> {
+    pub(super) fn claim(&mut self, router: Incarnation, claim: &Claim) -> Result<(), VoidReason> {
         self.check_claim(router, claim)?;
         let team = self.reserve(router, &claim.team, claim.reserved)?;
-        let key = self.touch(&claim.key);
+        let key = self.key_or_default(&claim.key);
         key.request = Some(claim.request);
         key.once |= !claim.idempotent;
         key.reruns += u8::from(key.bill.is_some());
@@ -41,89 +42,92 @@
     }
 
     /// Decides whether a request may be claimed.
-    fn check_claim(&self, router: Incarnation, claim: &Claim) -> Result<(), Void> {
-        // What stood in the log behind `seen` may be forgotten by now, a refusal or a bill of this request among it.
+    fn check_claim(&self, router: Incarnation, claim: &Claim) -> Result<(), VoidReason> {
+        // Records after `seen` may have expired, possibly including a refusal or a bill of this request.
         if claim.seen < self.expiry.horizon {
-            return Err(Void::Refused);
+            return Err(VoidReason::Refused);
         }
         let Some(key) = self.keys.get(&claim.key) else {
             return Ok(());
         };
         if key.request.is_some_and(|request| request != claim.request) {
-            return Err(Void::OtherRequest);
+            return Err(VoidReason::OtherRequest);
         }
-        if let Some(held) = &key.claim
-            && holds(Rule::First)
+        if let Some(current) = &key.claim
+            && is_enforced(Rule::FirstClaim)
         {
-            return match self.is_open(held.router) {
-                true if held.router == router => Err(Void::Mine),
-                true => Err(Void::ClaimedBy(held.router)),
-                // Whoever had it is closed, and closing settled its reservation; only a request that may not run
-                // twice keeps such a claim.
-                false => Err(Void::Unknown),
+            return match self.is_open(current.router) {
+                true if current.router == router => Err(VoidReason::Mine),
+                true => Err(VoidReason::ClaimedBy(current.router)),
+                // The router that held the claim is closed, and closing it settled the reservation. Only a
+                // non-idempotent request keeps its claim then.
+                false => Err(VoidReason::Unknown),
             };
         }
         let once = key.once || !claim.idempotent;
-        if key.bill.is_some() && holds(Rule::Billed) && (once || key.reruns >= MAX_RERUNS) {
-            return Err(Void::Billed);
+        if key.bill.is_some() && is_enforced(Rule::Billed) && (once || key.reruns >= MAX_RERUNS) {
+            return Err(VoidReason::Billed);
         }
-        if key.orphaned && once && holds(Rule::Orphan) {
-            return Err(Void::Unknown);
+        if key.orphaned && once && is_enforced(Rule::OrphanClaim) {
+            return Err(VoidReason::Unknown);
         }
         match key.refused {
-            Some((offset, attempt)) if refused(claim, offset, attempt) => Err(Void::Refused),
+            Some((offset, attempt)) if is_refused(claim, offset, attempt) => {
+                Err(VoidReason::Refused)
+            }
             _ => Ok(()),
         }
     }
 
-    /// Ends a claim of which nothing was dispatched. Where nothing else ran either, that is as good as a refusal.
+    /// Ends a claim for which nothing was dispatched. If nothing else of the request ran either, this is
+    /// equivalent to a refusal.
     pub(super) fn release(
         &mut self,
         offset: Offset,
         router: Incarnation,
         key: &RequestKey,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
         self.unreserve(&claim, claim.reserved);
-        let state = self.touch(key);
+        let state = self.key_or_default(key);
         match state.bill {
             Some(_) => state.reruns = state.reruns.saturating_sub(1),
             None => state.refuse(offset, claim.attempt),
         }
-        self.remember(offset, key, claim.idempotent);
+        self.schedule_expiry(offset, key, claim.idempotent);
         Ok(())
     }
 
     /// Settles that a request was not run.
     ///
-    /// A claim that was sent earlier may still land behind this record. It carries the offset that its router had
-    /// folded when the attempt arrived, which lies before this one, and is void.
+    /// A claim that was sent earlier may still be appended after this record. It is void, since it carries the offset
+    /// that its router had applied when the attempt arrived, which is before this one.
     ///
-    /// A request that a router had claimed when it was closed may have run, though nothing of it stands in the ledger
-    /// but that: a refusal of its retry would tell the caller of a run request that it was not.
+    /// A request whose router was closed while holding its claim may have run, although the ledger has no bill of it.
+    /// It must not be refused: the caller would be told that the request was not run.
     pub(super) fn refuse(
         &mut self,
         offset: Offset,
         key: &RequestKey,
         attempt: Attempt,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         if let Some(state) = self.keys.get(key) {
             self.check_refuse(state)?;
         }
-        self.touch(key).refuse(offset, attempt);
-        self.remember(offset, key, true);
+        self.key_or_default(key).refuse(offset, attempt);
+        self.schedule_expiry(offset, key, true);
         Ok(())
     }
 
-    fn check_refuse(&self, key: &KeyState) -> Result<(), Void> {
-        if key.bill.is_some() && holds(Rule::BillRefusal) {
-            return Err(Void::Stands);
+    fn check_refuse(&self, key: &KeyState) -> Result<(), VoidReason> {
+        if key.bill.is_some() && is_enforced(Rule::BillRefusal) {
+            return Err(VoidReason::Stands);
         }
-        if key.orphaned && holds(Rule::OrphanRefusal) {
-            return Err(Void::Unknown);
+        if key.orphaned && is_enforced(Rule::OrphanRefusal) {
+            return Err(VoidReason::Unknown);
         }
         match &key.claim {
-            Some(_) if holds(Rule::ClaimRefusal) => Err(Void::Stands),
+            Some(_) if is_enforced(Rule::ClaimRefusal) => Err(VoidReason::Stands),
             _ => Ok(()),
         }
     }
@@ -135,17 +139,17 @@
         key: &RequestKey,
         amount: Tokens,
         outcome: &Outcome,
-    ) -> Result<(), Void> {
+    ) -> Result<(), VoidReason> {
         let claim = self.take_claim(router, key)?;
-        // More than was reserved is never charged: what was reserved is all that the team was known to have.
-        let amount = match holds(Rule::Cap) {
+        // The charge is capped at the reservation, the only amount that the team is known to have available.
+        let amount = match is_enforced(Rule::BillCap) {
             true => amount.min(claim.reserved),
             false => amount,
         };
         self.unreserve(&claim, claim.reserved - amount);
-        let state = self.touch(key);
-        if state.bill.is_some() && holds(Rule::FirstBill) {
-            self.settle_lost(&claim, amount);
+        let state = self.key_or_default(key);
+        if state.bill.is_some() && is_enforced(Rule::FirstBill) {
+            self.charge_lost(&claim, amount);
         } else {
             state.bill = Some(Box::new(BillState {
                 team: claim.team.clone(),
@@ -154,43 +158,47 @@
             }));
             self.spend(&claim, amount);
         }
-        self.remember(offset, key, claim.idempotent);
+        self.schedule_expiry(offset, key, claim.idempotent);
         Ok(())
     }
 
-    /// Settles the claim of a router that is being closed.
+    /// Settles a claim of a router that is being closed.
     ///
-    /// The claim of a request that may not run twice stays, with nothing reserved, so that no one ever runs it again.
+    /// The claim of a non-idempotent request is kept with nothing reserved, so that the request is never run again.
     pub(super) fn orphan(&mut self, offset: Offset, key: &RequestKey) {
-        let state = self.touch(key);
+        let state = self.key_or_default(key);
         let Some(claim) = state.claim.take() else {
             return;
         };
         state.orphaned = true;
-        if !claim.idempotent && holds(Rule::Orphan) {
+        if !claim.idempotent && is_enforced(Rule::OrphanClaim) {
             let kept = ClaimState {
                 reserved: Tokens::ZERO,
                 ..(*claim).clone()
             };
             state.claim = Some(Box::new(kept));
         }
-        self.settle_lost(&claim, claim.reserved);
-        self.remember(offset, key, claim.idempotent);
+        self.charge_lost(&claim, claim.reserved);
+        self.schedule_expiry(offset, key, claim.idempotent);
     }
 
-    fn take_claim(&mut self, router: Incarnation, key: &RequestKey) -> Result<ClaimState, Void> {
+    fn take_claim(
+        &mut self,
+        router: Incarnation,
+        key: &RequestKey,
+    ) -> Result<ClaimState, VoidReason> {
         let claim = self
             .keys
             .get_mut(key)
             .and_then(|state| state.claim.take_if(|claim| claim.router == router))
-            .ok_or(Void::NoClaim)?;
+            .ok_or(VoidReason::NoClaim)?;
         if let Some(router) = self.routers.get_mut(&router) {
             router.claims.swap_remove(key);
         }
         Ok(*claim)
     }
 
-    fn touch(&mut self, key: &RequestKey) -> &mut KeyState {
+    fn key_or_default(&mut self, key: &RequestKey) -> &mut KeyState {
         let at = match self.keys.get_index_of(key) {
             Some(at) => at,
             None => self.keys.insert_full(key.clone(), KeyState::default()).0,
@@ -198,23 +206,24 @@
         &mut self.keys[at]
     }
 
-    /// Notes when a request of which no claim is open may be forgotten.
-    fn remember(&mut self, offset: Offset, key: &RequestKey, idempotent: bool) {
+    /// Queues a settled request for expiry.
+    fn schedule_expiry(&mut self, offset: Offset, key: &RequestKey, idempotent: bool) {
         let Some((_, key, state)) = self.keys.get_full_mut(key) else {
             return;
         };
         state.settled = offset;
-        self.expiry.settle(self.at, offset, key, idempotent);
+        self.expiry.push_key(self.at, offset, key, idempotent);
     }
 }
 
-/// Tells whether a refusal speaks of the attempt that a claim stands for.
+/// Returns whether a refusal applies to the attempt of a claim.
 ///
-/// An attempt that lay on the network arrives with a `seen` behind the refusal of a later one; only the caller's count
-/// gives it away. Once a refusal was counted, an attempt without a number cannot be told from such a one.
-fn refused(claim: &Claim, offset: Offset, attempt: Attempt) -> bool {
+/// An attempt that was delayed on the network may arrive with a `seen` after the refusal of a later attempt; only the
+/// attempt number shows that it is earlier. After a refusal with a number, an attempt without one cannot be told apart
+/// from such a delayed attempt and is refused as well.
+fn is_refused(claim: &Claim, offset: Offset, attempt: Attempt) -> bool {
     let counted = attempt != Attempt(0);
-    let late = offset > claim.seen && holds(Rule::Seen);
-    let earlier = counted && claim.attempt <= attempt && holds(Rule::Count);
+    let late = offset > claim.seen && is_enforced(Rule::SeenOffset);
+    let earlier = counted && claim.attempt <= attempt && is_enforced(Rule::AttemptNumber);
     late || earlier
 }
--- a/src/ledger/tests/world.rs
+++ b/src/ledger/tests/world.rs
@@ -1,10 +1,11 @@
-//! Two routers, a caller and the log, as far as the fold must get along with them.
+//! The model: two routers, a caller and the log, as far as they affect the fold.
 //!
-//! A record in flight lands at any time or never, in any order, and may land again, since its answer was lost: so a log
-//! outage is one in which nothing lands, and a peer that appends a dead router's records is one of them landing late.
-//! A router acts on what it has folded, which may be old. One that is paused takes no step, and goes on afterwards where
-//! it was; one that died takes none ever. A try that was sent lies on the network, or in the socket of its router, until
-//! that router reads it. Each try may charge another team or none: a selector changed in between.
+//! A record in flight is appended at any time or never, in any order, and possibly twice, since the response to an
+//! append may be lost. A log outage is a time without appends; a peer that appends a dead router's records is a late
+//! append. A router acts on the state that it has applied, which may be stale. A paused router takes no steps and
+//! continues afterwards from the same state; a dead one takes no more steps. An attempt that was sent stays on the
+//! network or in its router's socket until the router reads it. Each attempt may charge another team or none, since a
+//! selector may have changed in between.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_128;
@@ -25,13 +26,12 @@
 use crate::ledger::tests::records::key;
 use crate::ledger::tests::records::open;
 use crate::ledger::tests::records::team;
-use crate::ledger::tests::records::topup;
+use crate::ledger::tests::records::top_up;
 use crate::tokens::Tokens;
 
-/// Who closes routers and tops up.
+/// The incarnation that closes routers and tops up budgets.
 const OPERATOR: u64 = 9;
 
-/// One thing that happens.
 #[derive(Clone, Debug)]
 pub(super) enum Step {
     Send { attempt: usize, router: usize },
@@ -50,7 +50,6 @@
     Close { router: usize },
 }
 
-/// How far a try has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 enum Stage {
     New,
@@ -68,17 +67,17 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-struct Try {
+struct AttemptState {
     key: u64,
     number: u64,
     team: u64,
     stage: Stage,
     router: usize,
-    /// Where its last record landed.
+    /// The offset of its last record.
     landed: u64,
 }
 
-/// A record in flight, or one that landed and may land again.
+/// A record in flight, or an appended one of which a copy may be appended.
 #[derive(Clone, Debug, Serialize)]
 struct Message {
     router: usize,
@@ -94,15 +93,15 @@
     folded: [u64; 2],
     sent: [u64; 2],
     operator: u64,
-    tries: Vec<Try>,
+    tries: Vec<AttemptState>,
     net: Vec<Message>,
     closes: u8,
     repeats: u8,
-    /// What the team may have prepaid so far.
+    /// The upper limit of what the team has prepaid so far.
     prepaid: u64,
     topups: u8,
     draws: u8,
-    /// Tries in the order of their dispatch, of their refusal and of their end.
+    /// Attempts in the order of their dispatch (`ran`), of their refusal (`told`) and of their end.
     ran: Vec<usize>,
     told: Vec<usize>,
     ended: Vec<usize>,
@@ -114,7 +113,7 @@
 }
 
 impl World {
-    fn new(tries: Vec<Try>, once: bool) -> Self {
+    fn new(tries: Vec<AttemptState>, once: bool) -> Self {
         let mut world = Self {
             ledger: Ledger::default(),
             folded: [0; 2],
@@ -136,7 +135,7 @@
             hasty_dispatch: false,
             hasty_end: false,
         };
-        world.operate(open(OPERATOR));
+        world.append_as_operator(open(OPERATOR));
         for router in 0..2 {
             let batch = batch(incarnation(router).0, 1, open(router as u64));
             world.ledger.apply(world.ledger.next(), 0, &batch);
@@ -145,21 +144,21 @@
         world
     }
 
-    /// One request that is tried `tries` times, each at the cost of another team, of which both routers hold enough.
+    /// One request with `tries` attempts, each charged to another team of whose budget both routers hold enough.
     pub(super) fn request(tries: u64, once: bool, counted: bool) -> Self {
         let numbers = 1..=tries;
-        let list = numbers.map(|at| attempt(1, if counted { at } else { 0 }, at));
+        let list = numbers.map(|at| new_attempt(1, if counted { at } else { 0 }, at));
         let mut world = Self::new(list.collect(), once);
         world.prepaid = 9;
         for number in 1..=tries {
-            world.operate(topup(0, number, 9));
-            world.hold(team(number));
+            world.append_as_operator(top_up(0, number, 9));
+            world.draw_for_all(team(number));
         }
         world.folded = [world.ledger.next().0; 2];
         world
     }
 
-    fn hold(&mut self, team: TeamId) {
+    fn draw_for_all(&mut self, team: TeamId) {
         for router in 0..2 {
             self.sent[router] += 1;
             let want = Tokens(4);
@@ -170,15 +169,15 @@
         }
     }
 
-    /// Two requests that cost one token each of a team that prepaid one, which the first router holds, and prepays one more some time.
+    /// Two requests of one token each; their team prepaid one, held by the first router, and prepays one more later.
     pub(super) fn budget() -> Self {
-        let mut world = Self::new(vec![attempt(1, 1, 1), attempt(2, 1, 1)], false);
-        world.operate(topup(0, 1, 1));
-        world.operate(topup(0, 1, 1));
+        let mut world = Self::new(vec![new_attempt(1, 1, 1), new_attempt(2, 1, 1)], false);
+        world.append_as_operator(top_up(0, 1, 1));
+        world.append_as_operator(top_up(0, 1, 1));
         world.prepaid = 1;
         world.topups = 2;
         world.draws = 2;
-        world.hold(team(1));
+        world.draw_for_all(team(1));
         world.folded = [world.ledger.next().0; 2];
         world
     }
@@ -188,14 +187,14 @@
         self
     }
 
-    /// Leaves one router, which is not closed.
-    pub(super) fn alone(mut self) -> Self {
+    /// Leaves one router, which is never closed.
+    pub(super) fn single_router(mut self) -> Self {
         self.routers = 1;
         self.closes = 0;
         self
     }
 
-    /// Lets no try lie on the network, or unread in a socket, while the next one is sent.
+    /// Sends an attempt only when no earlier one is on the network or unread in a socket.
     pub(super) fn prompt(mut self) -> Self {
         self.prompt = true;
         self
@@ -210,7 +209,6 @@
         xxh3_128(&postcard::to_stdvec(self).expect("it can be encoded"))
     }
 
-    /// Lists what may happen next.
     pub(super) fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for router in 0..self.routers {
@@ -229,7 +227,7 @@
             steps.push(Step::TopUp);
         }
         for at in 0..self.tries.len() {
-            self.try_steps(at, &mut steps);
+            self.attempt_steps(at, &mut steps);
         }
         for (at, message) in self.net.iter().enumerate() {
             if message.landed.is_none() || self.repeats > 0 {
@@ -239,14 +237,14 @@
         steps
     }
 
-    fn try_steps(&self, attempt: usize, steps: &mut Vec<Step>) {
+    fn attempt_steps(&self, attempt: usize, steps: &mut Vec<Step>) {
         let this = &self.tries[attempt];
         let write = self.may_write(this.router);
         let known = this.landed < self.folded[this.router];
         match this.stage {
             Stage::New if self.is_next(attempt) => {
                 steps.push(Step::Send { attempt, router: 0 });
-                // The routers are alike, so the first try goes to the first.
+                // The routers are symmetric, so the first attempt always goes to the first.
                 if attempt > 0 && self.routers > 1 {
                     steps.push(Step::Send { attempt, router: 1 });
                 }
@@ -270,20 +268,21 @@
         }
     }
 
-    /// A caller sends its tries in order; it may have given up on the one before.
+    /// A caller sends its attempts in order; it may have given up on the previous one.
     fn is_next(&self, attempt: usize) -> bool {
-        let unread = |t: &Try| t.stage == Stage::New || (self.prompt && t.stage == Stage::Sent);
+        let unread =
+            |t: &AttemptState| t.stage == Stage::New || (self.prompt && t.stage == Stage::Sent);
         !self.tries[..attempt].iter().any(unread)
     }
 
-    /// One batch in flight: the last one landed, and its router has folded it.
+    /// A router has one batch in flight: it writes again once the last one was appended and it has applied that batch.
     fn may_write(&self, router: usize) -> bool {
         let known = |at: u64| at < self.folded[router];
         let mut mine = self.net.iter().filter(|m| m.router == router);
         mine.all(|m| m.landed.is_some_and(known))
     }
 
-    /// Returns what comes of a step, or nothing where it changes nothing.
+    /// Returns the state after a step, or `None` if the step changes nothing.
     pub(super) fn take(&self, step: &Step) -> Option<Self> {
         let mut next = self.clone();
         match *step {
@@ -294,23 +293,25 @@
             Step::Fold { router } => next.folded[router] = self.ledger.next().0,
             Step::Claim { attempt } => next.claim(attempt),
             Step::Refuse { attempt } => {
-                next.write_try(attempt, Stage::Refusing, |t| Record::Refuse {
+                next.write_attempt(attempt, Stage::Refusing, |t| Record::Refuse {
                     key: key(t.key),
                     attempt: Attempt(t.number),
                 })
             }
-            Step::Release { attempt } => next.write_try(attempt, Stage::Refusing, |t| {
+            Step::Release { attempt } => next.write_attempt(attempt, Stage::Refusing, |t| {
                 Record::Release { key: key(t.key) }
             }),
-            Step::Bill { attempt } => next.write_try(attempt, Stage::Billing, |t| Record::Bill {
-                key: key(t.key),
-                // More than was reserved, as after a miscount.
-                amount: Tokens(2),
-                outcome: Outcome::Whole,
-            }),
-            Step::Dispatch { attempt } => next.done(attempt, Stage::Running, |w| &mut w.ran),
-            Step::End { attempt } => next.done(attempt, Stage::Over, |w| &mut w.ended),
-            Step::Tell { attempt } => next.done(attempt, Stage::Over, |w| &mut w.told),
+            Step::Bill { attempt } => {
+                next.write_attempt(attempt, Stage::Billing, |t| Record::Bill {
+                    key: key(t.key),
+                    // More than was reserved, as after a counting error.
+                    amount: Tokens(2),
+                    outcome: Outcome::Whole,
+                })
+            }
+            Step::Dispatch { attempt } => next.finish(attempt, Stage::Running, |w| &mut w.ran),
+            Step::End { attempt } => next.finish(attempt, Stage::Over, |w| &mut w.ended),
+            Step::Tell { attempt } => next.finish(attempt, Stage::Over, |w| &mut w.told),
             Step::Draw { router } => {
                 next.draws -= 1;
                 let want = Tokens(1);
@@ -325,15 +326,15 @@
             }
             Step::TopUp => {
                 next.topups -= 1;
-                // The second time it is a repetition.
+                // The second top-up has the same id and is void.
                 next.prepaid = 2;
-                next.operate(topup(1, 1, 1));
+                next.append_as_operator(top_up(1, 1, 1));
             }
             Step::Land { message } => return next.land(message).then_some(next),
             Step::Close { router } => {
                 next.closes -= 1;
                 let router = incarnation(router);
-                next.operate(Record::Close { router });
+                next.append_as_operator(Record::Close { router });
             }
         }
         Some(next)
@@ -343,7 +344,7 @@
         let this = &self.tries[attempt];
         let seen = Offset(self.folded[this.router] - 1);
         let once = self.once;
-        self.write_try(attempt, Stage::Claiming, |this| {
+        self.write_attempt(attempt, Stage::Claiming, |this| {
             Record::Claim(Claim {
                 key: key(this.key),
                 team: team(this.team),
@@ -357,9 +358,9 @@
         });
     }
 
-    fn write_try<F>(&mut self, attempt: usize, stage: Stage, record: F)
+    fn write_attempt<F>(&mut self, attempt: usize, stage: Stage, record: F)
     where
-        F: FnOnce(&Try) -> Record,
+        F: FnOnce(&AttemptState) -> Record,
     {
         let this = &mut self.tries[attempt];
         this.stage = stage;
@@ -379,7 +380,7 @@
         });
     }
 
-    fn done<F>(&mut self, attempt: usize, stage: Stage, list: F)
+    fn finish<F>(&mut self, attempt: usize, stage: Stage, list: F)
     where
         F: FnOnce(&mut Self) -> &mut Vec<usize>,
     {
@@ -387,7 +388,7 @@
         self.tries[attempt].stage = stage;
     }
 
-    /// Lands a record and tells whether that changed anything.
+    /// Appends a record in flight and returns whether that changed anything.
     fn land(&mut self, message: usize) -> bool {
         let at = self.ledger.next();
         let Message {
@@ -399,39 +400,37 @@
         } = self.net[message].clone();
         let batch = batch(incarnation(router).0, sequence, record.clone());
         let verdicts = self.ledger.apply(at, 0, &batch);
-        let good = !matches!(verdicts[0], Verdict::Void(_));
+        let accepted = !matches!(verdicts[0], Verdict::Void(_));
         if landed.is_some() {
             self.repeats -= 1;
-            return good;
+            return accepted;
         }
         self.net[message].landed = Some(at.0);
         if let Some(attempt) = attempt {
             self.tries[attempt].landed = at.0;
-            self.tries[attempt].stage = self.stage_after(&record, good);
+            self.tries[attempt].stage = self.stage_after(&record, accepted);
         }
         true
     }
 
-    fn stage_after(&self, record: &Record, good: bool) -> Stage {
-        let unrun = |key| self.ledger.key(key).is_some_and(|k| k.is_unrun());
+    fn stage_after(&self, record: &Record, accepted: bool) -> Stage {
+        let never_ran = |key| self.ledger.key(key).is_some_and(|k| k.never_ran());
         match record {
-            Record::Claim(_) if good => Stage::Claimed,
-            Record::Bill { .. } if good => Stage::Billed,
-            // What was refused is proved by the record's own verdict; a release proves it of a request that nothing
-            // else was known of.
-            Record::Refuse { .. } if good => Stage::Unrun,
-            Record::Release { key } if good && unrun(key) => Stage::Unrun,
+            Record::Claim(_) if accepted => Stage::Claimed,
+            Record::Bill { .. } if accepted => Stage::Billed,
+            // A refusal itself proves that nothing ran; a release proves it only if the ledger shows no other run.
+            Record::Refuse { .. } if accepted => Stage::Unrun,
+            Record::Release { key } if accepted && never_ran(key) => Stage::Unrun,
             _ => Stage::Over,
         }
     }
 
-    fn operate(&mut self, record: Record) {
+    fn append_as_operator(&mut self, record: Record) {
         self.operator += 1;
         let batch = batch(OPERATOR, self.operator, record);
         self.ledger.apply(self.ledger.next(), 0, &batch);
     }
 
-    /// Names what does not hold, if something does not.
     pub(super) fn broken(&self) -> Option<&'static str> {
         let teams = || self.ledger.teams().map(|(_, team)| team);
         let (spent, over) = (
@@ -440,15 +439,15 @@
         );
         let bills = self.ledger.keys().filter(|(_, k)| k.bill.is_some()).count() as u64;
         let closed = self.ledger.routers().filter(|(_, r)| r.closed);
-        let rerun = |at: &usize| self.ran.iter().any(|ran| self.is_behind(*at, *ran));
-        if self.ledger.check_sums().is_err() || over {
+        let rerun = |at: &usize| self.ran.iter().any(|ran| self.is_covered(*at, *ran));
+        if self.ledger.check_balances().is_err() || over {
             Some("a team was allotted more than it prepaid")
         } else if closed.into_iter().any(|(_, r)| !r.holdings.is_empty()) {
             Some("a closed router holds tokens")
         } else if self.once && self.ran.len() > 1 {
-            Some("what may not run twice did")
+            Some("a non-idempotent request ran more than once")
         } else if self.told.iter().any(rerun) {
-            Some("what was told not to run ran")
+            Some("a request that was reported as not run has run")
         } else if spent > bills {
             Some("a request was billed twice")
         } else if self.ended.iter().any(|at| !self.is_billed(*at)) {
@@ -458,8 +457,8 @@
         }
     }
 
-    /// "Not run", said of a try, speaks of the request: of this try and of those before it.
-    fn is_behind(&self, told: usize, ran: usize) -> bool {
+    /// Whether the answer "not run" to attempt `told` covers attempt `ran`: it covers itself and all earlier ones.
+    fn is_covered(&self, told: usize, ran: usize) -> bool {
         self.tries[told].key == self.tries[ran].key && ran <= told
     }
 
@@ -469,8 +468,8 @@
     }
 }
 
-fn attempt(key: u64, number: u64, team: u64) -> Try {
-    Try {
+fn new_attempt(key: u64, number: u64, team: u64) -> AttemptState {
+    AttemptState {
         key,
         number,
         team,
--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -7,7 +7,7 @@
 use tracing::warn;
 
 use crate::ids::Offset;
-use crate::ledger::PART_SIZE;
+use crate::ledger::MAX_PART_BYTES;
 use crate::ledger::Record;
 use crate::ledger::Schedule;
 use crate::ledger::encode_part;
@@ -33,14 +33,14 @@
             return;
         }
         let schedule = Schedule {
-            retention: millis(self.tuning.retention),
-            records: MAX_BATCHES,
+            retention_ms: millis(self.tuning.retention),
+            max_records: MAX_BATCHES,
         };
         if !schedule.is_due(&self.ledger, self.me, self.log_time_ms(now)) {
             return;
         }
         self.checkpointed = Some(now);
-        let parts = split(&self.ledger, PART_SIZE);
+        let parts = split(&self.ledger, MAX_PART_BYTES);
         if parts.is_empty() {
             // The log will drop the last checkpoint. Without this warning nobody would notice until the whole fleet
             // restarts.
@@ -67,7 +67,7 @@
         let since = self
             .folded
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.ledger.at() + millis(since)
+        self.ledger.time_ms() + millis(since)
     }
 }
 
