--- a/src/edge/desk.rs
+++ b/src/edge/desk.rs
@@ -24,15 +24,15 @@
 use crate::ids::Offset;
 use crate::ids::RequestId;
 use crate::key_hash::KeyHash;
-use crate::router::AdminId;
 use crate::router::AdminRequest;
+use crate::router::BudgetTransfer;
 use crate::router::Event;
-use crate::router::Gift;
 use crate::router::Heartbeat;
 use crate::router::KeptBatches;
-use crate::router::LoanAsk;
+use crate::router::LoanRequest;
 use crate::router::Problem;
 use crate::router::Replay;
+use crate::router::ReplyId;
 use crate::router::Run;
 use crate::router::RunEnd;
 use crate::settings::RequestLimits;
@@ -71,7 +71,7 @@
     pub(crate) once: HttpClient,
     events: mpsc::UnboundedSender<Event>,
     commands: Mutex<IndexMap<RequestId, mpsc::UnboundedSender<Command>>>,
-    questions: Mutex<IndexMap<AdminId, oneshot::Sender<(u16, Value)>>>,
+    questions: Mutex<IndexMap<ReplyId, oneshot::Sender<(u16, Value)>>>,
     next: AtomicU64,
     ledger_next: AtomicU64,
     /// What this router last said of itself, and when.
@@ -180,22 +180,22 @@
     }
 
     /// Asks the core to take what a peer hands over.
-    pub(crate) async fn given(&self, gift: Gift) -> bool {
+    pub(crate) async fn given(&self, gift: BudgetTransfer) -> bool {
         let answer = self.question(|id| Event::Given(id, gift)).await;
         answer.is_some_and(|(status, _)| status == 200)
     }
 
     /// Asks the core for a loan to a peer.
-    pub(crate) async fn lend(&self, ask: LoanAsk) -> Option<Tokens> {
+    pub(crate) async fn lend(&self, ask: LoanRequest) -> Option<Tokens> {
         let (_, answer) = self.question(|id| Event::LoanAsked(id, ask)).await?;
         serde_json::from_value(answer).ok()
     }
 
     async fn question<F>(&self, event: F) -> Option<(u16, Value)>
     where
-        F: FnOnce(AdminId) -> Event,
+        F: FnOnce(ReplyId) -> Event,
     {
-        let id = AdminId(self.next.fetch_add(1, Ordering::Relaxed));
+        let id = ReplyId(self.next.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
         lock(&self.questions).insert(id, sender);
         self.tell(event(id));
@@ -203,7 +203,7 @@
     }
 
     /// Passes the core's answer on.
-    pub(crate) fn answer(&self, id: AdminId, status: u16, body: Value) {
+    pub(crate) fn answer(&self, id: ReplyId, status: u16, body: Value) {
         if let Some(sender) = lock(&self.questions).swap_remove(&id) {
             let _ = sender.send((status, body));
         }
--- a/src/edge/peers.rs
+++ b/src/edge/peers.rs
@@ -31,13 +31,13 @@
 use crate::edge::codec::Postcard;
 use crate::edge::desk::Desk;
 use crate::edge::desk::lock;
+use crate::router::BudgetTransfer;
 use crate::router::Event;
-use crate::router::Gift;
 use crate::router::Heartbeat;
 use crate::router::KeptBatches;
-use crate::router::LoanAsk;
+use crate::router::LoanRequest;
 use crate::router::Peer;
-use crate::router::Silence;
+use crate::router::PeerFailure;
 use crate::tokens::Tokens;
 
 /// The version of these messages, told in each call. Another one is refused, not guessed at.
@@ -86,10 +86,10 @@
     async fn table(version: u32) -> Result<RouteTable, Refused>;
 
     /// Lends what is idle of a budget.
-    async fn lend(version: u32, ask: LoanAsk) -> Result<Tokens, Refused>;
+    async fn lend(version: u32, ask: LoanRequest) -> Result<Tokens, Refused>;
 
     /// Takes what a router that stops hands over.
-    async fn give(version: u32, gift: Gift) -> Result<(), Refused>;
+    async fn give(version: u32, gift: BudgetTransfer) -> Result<(), Refused>;
 
     /// Returns the ledger's state.
     async fn ledger(version: u32) -> Result<Vec<u8>, Refused>;
@@ -134,12 +134,12 @@
         Ok(RouteTable::clone(&table))
     }
 
-    async fn lend(self, _: Context, version: u32, ask: LoanAsk) -> Result<Tokens, Refused> {
+    async fn lend(self, _: Context, version: u32, ask: LoanRequest) -> Result<Tokens, Refused> {
         check(version)?;
         self.0.lend(ask).await.ok_or(Refused::NotReady)
     }
 
-    async fn give(self, _: Context, version: u32, gift: Gift) -> Result<(), Refused> {
+    async fn give(self, _: Context, version: u32, gift: BudgetTransfer) -> Result<(), Refused> {
         check(version)?;
         match self.0.given(gift).await {
             true => Ok(()),
@@ -215,7 +215,7 @@
         }
         match answer {
             Ok(Ok(word)) => self.desk.tell(Event::Heard(word)),
-            Ok(Err(_)) => self.desk.tell(Event::Unheard(peer.vm, Silence::Mute)),
+            Ok(Err(_)) => self.desk.tell(Event::Unheard(peer.vm, PeerFailure::Mute)),
             Err(silence) => self.desk.tell(Event::Unheard(peer.vm, silence)),
         }
     }
@@ -255,7 +255,7 @@
     }
 
     /// Hands budget over to a peer, a few times where no answer comes, and tells the core.
-    pub(crate) async fn give(self, gift: Gift, peer: Peer) {
+    pub(crate) async fn give(self, gift: BudgetTransfer, peer: Peer) {
         let mut taken = false;
         for _ in 0..GIFT_TRIES {
             let given = gift.clone();
@@ -271,7 +271,7 @@
     }
 
     /// Asks a peer for a loan, and tells the core. The core asks again where no answer came.
-    pub(crate) async fn borrow(self, ask: LoanAsk, peer: Peer) {
+    pub(crate) async fn borrow(self, ask: LoanRequest, peer: Peer) {
         // On a VM that is late, a question given up too early would be asked again over a new connection.
         let limit = lock(&self.trips).limit(LOAN);
         let asked = ask.clone();
@@ -329,7 +329,7 @@
     }
 
     /// Makes one call.
-    async fn call<F, A, T>(&self, address: &str, limit: Duration, call: F) -> Result<T, Silence>
+    async fn call<F, A, T>(&self, address: &str, limit: Duration, call: F) -> Result<T, PeerFailure>
     where
         F: FnOnce(PeeringClient) -> A,
         A: Future<Output = Result<T, tarpc::client::RpcError>>,
@@ -340,21 +340,21 @@
             _ => {
                 // A connection over which nothing comes is half open, or worse: the next call makes a new one.
                 self.clients.lock().await.swap_remove(address);
-                Err(Silence::Mute)
+                Err(PeerFailure::Mute)
             }
         }
     }
 
-    async fn client(&self, address: &str, limit: Duration) -> Result<PeeringClient, Silence> {
+    async fn client(&self, address: &str, limit: Duration) -> Result<PeeringClient, PeerFailure> {
         if let Some(client) = self.clients.lock().await.get(address) {
             return Ok(client.clone());
         }
         let stream = match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                return Err(Silence::Refused);
+                return Err(PeerFailure::Refused);
             }
-            _ => return Err(Silence::Unreachable),
+            _ => return Err(PeerFailure::Unreachable),
         };
         let _ = stream.set_nodelay(true);
         let transport = serde_transport::new(codec_framed(stream), Postcard::default());
--- a/src/edge/tell.rs
+++ b/src/edge/tell.rs
@@ -10,7 +10,7 @@
 use crate::edge::desk::Desk;
 use crate::router::Event;
 use crate::router::Peer;
-use crate::router::Reading;
+use crate::router::PromptNotice;
 
 /// The version of these messages, their first byte; others are not read.
 const VERSION: u8 = 1;
@@ -33,7 +33,7 @@
     }
 
     /// Tells peers of a long prompt.
-    pub(crate) fn tell(&self, reading: &Reading, peers: &[Peer]) {
+    pub(crate) fn tell(&self, reading: &PromptNotice, peers: &[Peer]) {
         let mut message = vec![VERSION];
         match postcard::to_stdvec(reading) {
             Ok(bytes) => message.extend(bytes),
--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -15,8 +15,8 @@
 use crate::router::core::Phase;
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
-use crate::router::event::AdminId;
 use crate::router::event::AdminRequest;
+use crate::router::event::ReplyId;
 use crate::tokens::Tokens;
 
 /// The version of the dump that `status` gives.
@@ -24,7 +24,7 @@
 
 impl Core {
     /// Answers an operator.
-    pub(crate) fn admin(&mut self, now: Instant, id: AdminId, request: AdminRequest) {
+    pub(crate) fn admin(&mut self, now: Instant, id: ReplyId, request: AdminRequest) {
         match request {
             AdminRequest::Address => self.answer_address(now, id),
             AdminRequest::Status => self.answer(id, 200, self.status(now)),
@@ -49,11 +49,11 @@
         }
     }
 
-    fn answer(&mut self, id: AdminId, status: u16, body: Value) {
+    fn answer(&mut self, id: ReplyId, status: u16, body: Value) {
         self.effects.push(Effect::Answer(id, status, body));
     }
 
-    fn answer_address(&mut self, now: Instant, id: AdminId) {
+    fn answer_address(&mut self, now: Instant, id: ReplyId) {
         match self.advice(now) {
             Some(advice) => {
                 let keep = advice.keep.min(self.tuning.keep);
@@ -70,7 +70,7 @@
         }
     }
 
-    fn top_up(&mut self, id: AdminId, name: TopUpId, team: TeamId, amount: Tokens) {
+    fn top_up(&mut self, id: ReplyId, name: TopUpId, team: TeamId, amount: Tokens) {
         if !self.serving() {
             self.answer(id, 503, json!({"detail": "this router does not serve"}));
             return;
@@ -89,7 +89,7 @@
             .push(record.clone(), Ticket::TopUp(id, record));
     }
 
-    pub(crate) fn top_up_verdict(&mut self, id: AdminId, verdict: &Verdict) {
+    pub(crate) fn top_up_verdict(&mut self, id: ReplyId, verdict: &Verdict) {
         let applied = *verdict == Verdict::Accepted;
         self.answer(id, 200, json!({"applied": applied}));
     }
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -36,8 +36,8 @@
 use crate::router::configure::ConfigStream;
 use crate::router::drained::DrainedDomains;
 use crate::router::effect::Effect;
-use crate::router::event::AdminId;
 use crate::router::event::Event;
+use crate::router::event::ReplyId;
 use crate::router::grant_budgets::GrantBudgets;
 use crate::router::ledger_budget::LedgerBudget;
 use crate::router::members::Members;
@@ -144,7 +144,7 @@
     },
     Draw(TeamId),
     Return(TeamId, Tokens),
-    TopUp(AdminId, Record),
+    TopUp(ReplyId, Record),
     CloseSelf,
     Other,
 }
@@ -175,7 +175,7 @@
     pub(crate) members: Members,
     pub(crate) effects: Vec<Effect>,
     pub(crate) outage: Outage,
-    pub(crate) proofs: ProofBudget,
+    pub(crate) proofs: RefuseLimiter,
     /// Until when requests may be ones that lay in a socket while the process was stopped.
     pub(crate) stale_until: Option<Instant>,
     /// When the router started.
@@ -218,19 +218,19 @@
 
 /// Bounds the refuse records of a router, so that under overload the proofs cost less than serving would.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ProofBudget {
+pub(crate) struct RefuseLimiter {
     left: f64,
     at: Option<Instant>,
 }
 
 /// Refuse records a second at one router: at 60 bytes each, a tenth of what a batch may carry.
-const PROOF_RATE: f64 = 200.0;
+const REFUSES_PER_SEC: f64 = 200.0;
 
-impl ProofBudget {
+impl RefuseLimiter {
     /// Takes one proof, if one is left.
     pub(crate) fn take(&mut self, now: Instant) -> bool {
         let since = self.at.map_or(Duration::from_secs(1), |at| now - at);
-        self.left = (self.left + since.as_secs_f64() * PROOF_RATE).min(PROOF_RATE);
+        self.left = (self.left + since.as_secs_f64() * REFUSES_PER_SEC).min(REFUSES_PER_SEC);
         self.at = Some(now);
         if self.left < 1.0 {
             return false;
@@ -264,7 +264,7 @@
             members: Members::new(now, tuning.vm.clone()),
             effects: Vec::new(),
             outage: Outage::default(),
-            proofs: ProofBudget {
+            proofs: RefuseLimiter {
                 left: 0.0,
                 at: None,
             },
--- a/src/router/effect.rs
+++ b/src/router/effect.rs
@@ -18,12 +18,12 @@
 use crate::ids::Sequence;
 use crate::ids::TeamId;
 use crate::ids::VmId;
-use crate::router::event::AdminId;
-use crate::router::event::Gift;
+use crate::router::event::BudgetTransfer;
 use crate::router::event::Heartbeat;
 use crate::router::event::KeptBatches;
-use crate::router::event::LoanAsk;
-use crate::router::event::Reading;
+use crate::router::event::LoanRequest;
+use crate::router::event::PromptNotice;
+use crate::router::event::ReplyId;
 use crate::router::problem::Problem;
 
 /// What the core wants the edge to do.
@@ -73,17 +73,17 @@
     /// Reads grants from an offset on, or the newest of each key.
     ReadGrants(Option<Offset>),
     /// Tells the other routers of a long prompt; one that does not hear of it chooses a little worse.
-    Tell(Reading, Arc<[Peer]>),
+    Tell(PromptNotice, Arc<[Peer]>),
     /// Hands budget over to another router.
-    Give(Gift, Peer),
+    Give(BudgetTransfer, Peer),
     /// Asks another router for a loan.
-    Borrow(LoanAsk, Peer),
+    Borrow(LoanRequest, Peer),
     /// Gives an endpoint an order.
     Order(Order),
     /// Asks an endpoint for its load and its cache events.
     Probe(VmId, String),
     /// Answers an operator.
-    Answer(AdminId, u16, Value),
+    Answer(ReplyId, u16, Value),
     /// Ends the process.
     Exit {
         /// Whether requests in progress, or records that no one has, are cut off by it.
--- a/src/router/event.rs
+++ b/src/router/event.rs
@@ -75,9 +75,9 @@
     /// A peer was heard, either way.
     Heard(Heartbeat),
     /// A peer did not answer a heartbeat.
-    Unheard(VmId, Silence),
+    Unheard(VmId, PeerFailure),
     /// A peer asks this router to keep the batches that it cannot append.
-    Keep(AdminId, KeptBatches),
+    Keep(ReplyId, KeptBatches),
     /// A peer keeps this router's batches up to this number.
     Kept {
         /// Who keeps it.
@@ -98,7 +98,7 @@
     /// What an endpoint says of its cache.
     Cache(VmId, Vec<CacheEvent>),
     /// An operator asks for something.
-    Admin(AdminId, AdminRequest),
+    Admin(ReplyId, AdminRequest),
     /// Which failure domains the operator drains.
     DrainedDomains(DrainedDomains),
     /// Endpoints say how much longer they are cold.
@@ -112,15 +112,15 @@
     /// Something happened at the log that keeps grants.
     Grants(GrantEvent),
     /// Another router asks for a loan.
-    LoanAsked(AdminId, LoanAsk),
+    LoanAsked(ReplyId, LoanRequest),
     /// Another router sent an endpoint a long prompt.
-    Reads(Reading),
+    Reads(PromptNotice),
     /// Another router hands over what it holds idle.
-    Given(AdminId, Gift),
+    Given(ReplyId, BudgetTransfer),
     /// Another router has what was handed over to it, or did not answer.
-    Taken(Gift, bool),
+    Taken(BudgetTransfer, bool),
     /// Another router answered a question for a loan, or did not.
-    Lent(LoanAsk, Option<Tokens>),
+    Lent(LoanRequest, Option<Tokens>),
     /// The settings changed.
     Tuned(Box<Tuning>),
     /// A planned stop begins.
@@ -133,7 +133,7 @@
 
 /// Why a peer said nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Silence {
+pub(crate) enum PeerFailure {
     /// Its VM says that nothing listens there: the process is dead, and the VM lives.
     Refused,
     /// A connection was had, and no answer over it: the process is frozen, or what stands between is at fault.
@@ -144,7 +144,7 @@
 
 /// Names an operator's question, so that its answer finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct AdminId(pub u64);
+pub(crate) struct ReplyId(pub u64);
 
 /// What an operator or a caller asks of the router itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -368,12 +368,12 @@
     /// What time of day it is there, since the Unix epoch, by a clock that is not set while the process runs.
     pub(crate) clock: Duration,
     /// Its budgets, where they are kept by grants.
-    pub(crate) purses: Vec<PurseWord>,
+    pub(crate) purses: Vec<TeamBudget>,
 }
 
 /// What a router says of one team's budget.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub(crate) struct PurseWord {
+pub(crate) struct TeamBudget {
     /// The team.
     pub(crate) team: TeamId,
     /// What lies idle there.
@@ -384,7 +384,7 @@
 
 /// A prompt that a router sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub(crate) struct Reading {
+pub(crate) struct PromptNotice {
     /// The endpoint.
     pub(crate) endpoint: VmId,
     /// Names the parts that other requests share.
@@ -395,7 +395,7 @@
 
 /// Budget that a router hands over because it stops.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub(crate) struct Gift {
+pub(crate) struct BudgetTransfer {
     /// The lifetime that stops.
     pub(crate) giver: Incarnation,
     /// The gift's number there, by which it counts once.
@@ -408,7 +408,7 @@
 
 /// A question for a loan.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub(crate) struct LoanAsk {
+pub(crate) struct LoanRequest {
     /// The lifetime that asks.
     pub(crate) borrower: Incarnation,
     /// The question's number there, by which it counts once.
--- a/src/router/grant_budget.rs
+++ b/src/router/grant_budget.rs
@@ -9,8 +9,8 @@
 use crate::decide::Demand;
 use crate::decide::Ration;
 use crate::ids::RequestId;
-use crate::router::event::AdminId;
-use crate::router::event::LoanAsk;
+use crate::router::event::LoanRequest;
+use crate::router::event::ReplyId;
 use crate::router::loans::Loans;
 use crate::tokens::Tokens;
 
@@ -40,7 +40,7 @@
     /// A request at this router.
     Request(RequestId),
     /// Another router, for which this one keeps the budget, with all its loan requests under one number.
-    Loan(Vec<AdminId>, LoanAsk),
+    Loan(Vec<ReplyId>, LoanRequest),
 }
 
 /// An entry in the queue for budget.
@@ -143,7 +143,7 @@
 
     /// Counts what a borrower's callers asked for since its last loan request. The borrower asks several routers, and
     /// each of the `owners` counts an equal part of it.
-    pub(crate) fn record_loan_demand(&mut self, now: Instant, ask: &LoanAsk, owners: u64) {
+    pub(crate) fn record_loan_demand(&mut self, now: Instant, ask: &LoanRequest, owners: u64) {
         self.first_used.get_or_insert(now);
         let new = self.borrowers.ask(ask.borrower, ask.asked, ask.amount);
         let part = Tokens(new.0 / owners.max(1));
@@ -151,7 +151,7 @@
     }
 
     /// Adds a loan request to a waiting one of the same number; returns whether there is one.
-    pub(crate) fn join_waiting(&mut self, id: AdminId, ask: &LoanAsk) -> bool {
+    pub(crate) fn join_waiting(&mut self, id: ReplyId, ask: &LoanRequest) -> bool {
         for waiting in &mut self.waiting {
             if let Waiter::Loan(ids, first) = &mut waiting.who
                 && (first.borrower, first.number) == (ask.borrower, ask.number)
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -16,10 +16,10 @@
 use crate::router::core::Core;
 use crate::router::core::Phase;
 use crate::router::effect::Effect;
-use crate::router::event::AdminId;
-use crate::router::event::Gift;
+use crate::router::event::BudgetTransfer;
 use crate::router::event::GrantEvent;
-use crate::router::event::LoanAsk;
+use crate::router::event::LoanRequest;
+use crate::router::event::ReplyId;
 use crate::router::grant_budget::Waiter;
 use crate::router::grant_budget::Waiting;
 use crate::router::grant_budgets::ReserveOutcome;
@@ -144,7 +144,7 @@
     }
 
     /// Accepts budget that a stopping router hands over.
-    pub(crate) fn accept_gift(&mut self, id: AdminId, gift: &Gift) {
+    pub(crate) fn accept_gift(&mut self, id: ReplyId, gift: &BudgetTransfer) {
         let status = if self.serving() { 200 } else { 503 };
         if self.serving() {
             self.funds.receive_transfer(gift);
@@ -153,14 +153,14 @@
     }
 
     /// Handles another router's request for a loan.
-    pub(crate) fn handle_loan_ask(&mut self, now: Instant, id: AdminId, ask: &LoanAsk) {
+    pub(crate) fn handle_loan_ask(&mut self, now: Instant, id: ReplyId, ask: &LoanRequest) {
         if let Some(amount) = self.funds.lend(now, id, ask) {
             self.answer_loans(vec![id], amount);
         }
     }
 
     /// Gives one answer to all loan requests under one number: it is unknown which of them the sender still waits for.
-    fn answer_loans(&mut self, ids: Vec<AdminId>, amount: Tokens) {
+    fn answer_loans(&mut self, ids: Vec<ReplyId>, amount: Tokens) {
         let answers = ids.into_iter();
         let answers = answers.map(|id| Effect::Answer(id, 200, json!(amount)));
         self.effects.extend(answers);
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -13,7 +13,7 @@
 use crate::decide::Lean;
 use crate::ids::VmId;
 use crate::router::core::Core;
-use crate::router::event::Silence;
+use crate::router::event::PeerFailure;
 use crate::settings::EndMarker;
 
 /// How much shorter the silence of a router may be whose VM says that nothing listens there: heartbeats are an eighth of
@@ -33,9 +33,9 @@
         let silence = self.tuning.silence;
         let seen = self.members.silence(now, vm);
         match (seen, self.members.is_listed(vm)) {
-            (Some(Silence::Refused), _) => silence / REFUSED_PART,
+            (Some(PeerFailure::Refused), _) => silence / REFUSED_PART,
             (_, false) => silence,
-            (Some(Silence::Unreachable), true) => self.tuning.parted.max(silence),
+            (Some(PeerFailure::Unreachable), true) => self.tuning.parted.max(silence),
             (_, true) => self.patience_with_mute(),
         }
     }
@@ -69,7 +69,7 @@
             .cloned()
             .collect();
         let parted = |peer: &crate::router::Peer| {
-            self.members.silence(now, &peer.vm) == Some(Silence::Unreachable)
+            self.members.silence(now, &peer.vm) == Some(PeerFailure::Unreachable)
         };
         let time = match () {
             () if silent.is_empty() => return None,
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -8,10 +8,10 @@
 use crate::ids::Incarnation;
 use crate::router::effect::Effect;
 use crate::router::effect::Peer;
-use crate::router::event::AdminId;
-use crate::router::event::Gift;
-use crate::router::event::LoanAsk;
-use crate::router::event::PurseWord;
+use crate::router::event::BudgetTransfer;
+use crate::router::event::LoanRequest;
+use crate::router::event::ReplyId;
+use crate::router::event::TeamBudget;
 use crate::router::grant_budgets::GrantBudgets;
 use crate::router::grant_review::StopPhase;
 use crate::router::loans::LoanNeed;
@@ -104,7 +104,7 @@
     }
 
     /// Adds what another router transferred.
-    pub(crate) fn receive_transfer(&mut self, gift: &Gift) {
+    pub(crate) fn receive_transfer(&mut self, gift: &BudgetTransfer) {
         info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
         if let Some(allowance) = self.budgets.get_mut(&gift.team) {
             allowance.loans.receive(gift);
@@ -112,7 +112,7 @@
     }
 
     /// Notes that another router confirmed a transfer, or that its outcome is unknown.
-    pub(crate) fn finish_transfer(&mut self, gift: &Gift, taken: bool) {
+    pub(crate) fn finish_transfer(&mut self, gift: &BudgetTransfer, taken: bool) {
         info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
         if let Some(allowance) = self.budgets.get_mut(&gift.team) {
             allowance.loans.finish_transfer();
@@ -121,7 +121,7 @@
 
     /// Answers another router's loan request. Returns `None` if the answer waits for more budget from the log. A
     /// repeated request gets the same answer.
-    pub(crate) fn lend(&mut self, now: Instant, id: AdminId, ask: &LoanAsk) -> Option<Tokens> {
+    pub(crate) fn lend(&mut self, now: Instant, id: ReplyId, ask: &LoanRequest) -> Option<Tokens> {
         match self.ownership.owns_for_all(&ask.team) {
             true => self.lend_owned(now, id, ask),
             false => Some(self.lend_idle(now, ask)),
@@ -129,7 +129,7 @@
     }
 
     /// Lends idle budget of a team whose budget every router keeps for itself.
-    fn lend_idle(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
+    fn lend_idle(&mut self, now: Instant, ask: &LoanRequest) -> Tokens {
         let free = self.available(now, &ask.team);
         let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
@@ -147,7 +147,7 @@
     pub(crate) fn record_loan_answer(
         &mut self,
         now: Instant,
-        ask: &LoanAsk,
+        ask: &LoanRequest,
         amount: Option<Tokens>,
     ) {
         info!(event = "borrowed", number = ask.number, team = %ask.team, asked = %ask.amount, amount = ?amount.map(|a| a.0));
@@ -160,10 +160,10 @@
     }
 
     /// Returns what this router reports of its budgets to other routers: idle tokens and demand.
-    pub(crate) fn budget_report(&self, now: Instant) -> Vec<PurseWord> {
+    pub(crate) fn budget_report(&self, now: Instant) -> Vec<TeamBudget> {
         let owned = self.budgets.iter();
         let owned = owned.filter(|(team, _)| self.ownership.owners(team).is_empty());
-        let budgets = owned.map(|(team, allowance)| PurseWord {
+        let budgets = owned.map(|(team, allowance)| TeamBudget {
             team: team.clone(),
             free: self.held(team),
             demand: allowance.rate(now) as u64,
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -16,8 +16,8 @@
 use crate::ids::TeamId;
 use crate::router::effect::Effect;
 use crate::router::effect::Peer;
-use crate::router::event::Gift;
-use crate::router::event::LoanAsk;
+use crate::router::event::BudgetTransfer;
+use crate::router::event::LoanRequest;
 use crate::tokens::Tokens;
 
 /// How long a router is not asked again after it lent too little or did not answer. Its next heartbeat reports what it
@@ -73,7 +73,7 @@
 /// neither side can spend that amount.
 #[derive(Clone, Debug)]
 struct UnansweredRequest {
-    ask: LoanAsk,
+    ask: LoanRequest,
     peer: Peer,
     first_failure: Instant,
     last_attempt: Instant,
@@ -191,7 +191,7 @@
             peer: peer.clone(),
             sent_at: now,
         });
-        let ask = LoanAsk {
+        let ask = LoanRequest {
             borrower: me,
             number: self.number,
             team: team.clone(),
@@ -203,7 +203,7 @@
     }
 
     /// Returns the answer that was already given to a request.
-    pub(crate) fn previous_answer(&self, ask: &LoanAsk) -> Option<Tokens> {
+    pub(crate) fn previous_answer(&self, ask: &LoanRequest) -> Option<Tokens> {
         self.answers.get(&(ask.borrower, ask.number)).copied()
     }
 
@@ -212,7 +212,7 @@
     pub(crate) fn record_answer(
         &mut self,
         now: Instant,
-        ask: &LoanAsk,
+        ask: &LoanRequest,
         amount: Option<Tokens>,
     ) -> Option<Peer> {
         let pending = self.pending.take_if(|pending| pending.number == ask.number);
@@ -225,7 +225,7 @@
         } else {
             // Retries ask for no tokens: a lender that never received the request would lend an amount that is no
             // longer needed.
-            let ask = LoanAsk {
+            let ask = LoanRequest {
                 amount: Tokens::ZERO,
                 ..ask.clone()
             };
@@ -247,7 +247,7 @@
     }
 
     /// Records the answer to a retried request. An `amount` of `None` means that no answer came.
-    fn record_late_answer(&mut self, ask: &LoanAsk, amount: Option<Tokens>) {
+    fn record_late_answer(&mut self, ask: &LoanRequest, amount: Option<Tokens>) {
         let Some(amount) = amount else {
             return;
         };
@@ -310,7 +310,7 @@
         self.lent += amount;
         self.number += 1;
         self.unconfirmed_transfers += 1;
-        let gift = Gift {
+        let gift = BudgetTransfer {
             giver: me,
             number: self.number,
             team: team.clone(),
@@ -343,7 +343,7 @@
     }
 
     /// Adds a received transfer to the budget. A repeated transfer counts once.
-    pub(crate) fn receive(&mut self, gift: &Gift) {
+    pub(crate) fn receive(&mut self, gift: &BudgetTransfer) {
         let key = (gift.giver, gift.number);
         if self.received_transfers.insert(key, gift.amount).is_none() {
             self.borrowed += gift.amount;
@@ -354,7 +354,7 @@
     }
 
     /// Answers a loan request from the spare budget. A repeated request gets the same answer as before.
-    pub(crate) fn lend(&mut self, ask: &LoanAsk, spare: Tokens) -> Tokens {
+    pub(crate) fn lend(&mut self, ask: &LoanRequest, spare: Tokens) -> Tokens {
         if let Some(answer) = self.previous_answer(ask) {
             return answer;
         }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -20,9 +20,9 @@
 use crate::router::effect::Peer;
 use crate::router::event::Heartbeat;
 use crate::router::event::KeptBatches;
-use crate::router::event::Silence;
+use crate::router::event::PeerFailure;
 use crate::router::peer_budgets::BudgetReport;
-use crate::router::roster::Roster;
+use crate::router::roster::VmIndex;
 use crate::vms::VmList;
 use crate::vms::VmState;
 
@@ -49,7 +49,7 @@
     /// When it last did not answer.
     at: Instant,
     /// In what way.
-    silence: Silence,
+    silence: PeerFailure,
     /// How often in a row in this way.
     count: u32,
 }
@@ -57,7 +57,7 @@
 /// What a router knows of the others.
 #[derive(Debug)]
 pub(crate) struct Members {
-    pub(crate) roster: Roster,
+    pub(crate) roster: VmIndex,
     heard: IndexMap<VmId, (Instant, Heartbeat)>,
     unheard: IndexMap<VmId, Unheard>,
     /// When each incarnation last gave a sign of life.
@@ -77,7 +77,7 @@
 impl Members {
     pub(crate) fn new(now: Instant, me: VmId) -> Self {
         Self {
-            roster: Roster::new(me),
+            roster: VmIndex::new(me),
             heard: IndexMap::new(),
             unheard: IndexMap::new(),
             signs: IndexMap::new(),
@@ -114,7 +114,7 @@
     }
 
     /// Notes that a peer did not answer.
-    pub(crate) fn unheard(&mut self, now: Instant, vm: VmId, silence: Silence) {
+    pub(crate) fn unheard(&mut self, now: Instant, vm: VmId, silence: PeerFailure) {
         let row = self.unheard.get(&vm).filter(|u| u.silence == silence);
         let count = row.map_or(0, |u| u.count) + 1;
         let unheard = Unheard {
@@ -126,10 +126,10 @@
     }
 
     /// Returns in what way a peer is silent, if it is; one refusal may have met a router that restarts.
-    pub(crate) fn silence(&self, now: Instant, vm: &VmId) -> Option<Silence> {
+    pub(crate) fn silence(&self, now: Instant, vm: &VmId) -> Option<PeerFailure> {
         let unheard = self.unheard.get(vm).filter(|u| now < u.at + self.fresh)?;
         match unheard.silence {
-            Silence::Refused if unheard.count < REFUSALS => Some(Silence::Mute),
+            PeerFailure::Refused if unheard.count < REFUSALS => Some(PeerFailure::Mute),
             silence => Some(silence),
         }
     }
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -17,8 +17,8 @@
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
 use crate::router::effect::Peer;
-use crate::router::event::AdminId;
 use crate::router::event::KeptBatches;
+use crate::router::event::ReplyId;
 use crate::router::request::AnswerEnd;
 use crate::router::request::State;
 use crate::settings::EndMarker;
@@ -106,7 +106,7 @@
     ///
     /// A router that was closed while it was cut off may not know it yet. Were its batches kept all the same, it would
     /// let the ends of answers go out whose bills are void.
-    pub(crate) fn keep(&mut self, id: AdminId, batches: KeptBatches) {
+    pub(crate) fn keep(&mut self, id: ReplyId, batches: KeptBatches) {
         let state = self.ledger.router(batches.router);
         let folded = state.filter(|state| !state.closed).map(|s| s.sequence);
         let keeps = folded.is_some_and(|folded| self.members.keep(batches, folded));
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -8,8 +8,8 @@
 use crate::ids::Incarnation;
 use crate::ids::TeamId;
 use crate::router::effect::Effect;
-use crate::router::event::AdminId;
-use crate::router::event::LoanAsk;
+use crate::router::event::LoanRequest;
+use crate::router::event::ReplyId;
 use crate::router::grant_budget::GrantBudget;
 use crate::router::grant_budget::Waiter;
 use crate::router::grant_budget::Waiting;
@@ -151,8 +151,8 @@
     pub(super) fn lend_owned(
         &mut self,
         now: Instant,
-        id: AdminId,
-        ask: &LoanAsk,
+        id: ReplyId,
+        ask: &LoanRequest,
     ) -> Option<Tokens> {
         let open = self.available_to(now, &ask.team, ask.priority);
         let remainder = self.remainder(now, &ask.team);
@@ -187,7 +187,7 @@
     }
 
     /// Lends as much of the requested amount as is open now. Another owner may have the remainder.
-    pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanAsk) -> Tokens {
+    pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanRequest) -> Tokens {
         let open = self.available_to(now, &ask.team, ask.priority);
         let Some(allowance) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
--- a/src/router/peer_budgets.rs
+++ b/src/router/peer_budgets.rs
@@ -10,7 +10,7 @@
 use crate::decide::Remainder;
 use crate::ids::TeamId;
 use crate::router::effect::Peer;
-use crate::router::event::PurseWord;
+use crate::router::event::TeamBudget;
 use crate::router::grant_budgets::DEMAND_COVER;
 use crate::router::grant_budgets::GrantBudgets;
 use crate::router::loans::PeerBudget;
@@ -43,7 +43,7 @@
     /// The router that sent the report.
     pub(crate) peer: Peer,
     /// Its budgets.
-    pub(crate) budgets: Vec<PurseWord>,
+    pub(crate) budgets: Vec<TeamBudget>,
 }
 
 /// What the other routers report of one team's budget.
@@ -130,7 +130,7 @@
 }
 
 impl PeerTotals {
-    fn add(&mut self, peer: &Peer, budget: &PurseWord) {
+    fn add(&mut self, peer: &Peer, budget: &TeamBudget) {
         self.free += budget.free;
         self.demand += budget.demand as f64;
         self.budgets.push(PeerBudget {
--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -6,7 +6,7 @@
 use crate::ids::RequestId;
 use crate::router::core::Core;
 use crate::router::effect::Effect;
-use crate::router::event::Reading;
+use crate::router::event::PromptNotice;
 use crate::router::request::State;
 
 /// How many unread tokens of a prompt the other routers are told of: at 85 tokens a millisecond, what delays others by
@@ -29,7 +29,7 @@
         let Some((tokens, _)) = terms.expected_prefill.filter(|(tokens, _)| *tokens >= LONG) else {
             return;
         };
-        let reading = Reading {
+        let reading = PromptNotice {
             endpoint: choice.endpoint.clone(),
             shared: prompt.shared,
             tokens,
@@ -58,7 +58,7 @@
     }
 
     /// Counts a prompt that another router sent to an endpoint.
-    pub(crate) fn reads(&mut self, now: Instant, reading: &Reading) {
+    pub(crate) fn reads(&mut self, now: Instant, reading: &PromptNotice) {
         for pool in self.pools.values_mut() {
             let chooser = &mut pool.picker.chooser;
             chooser.told(now, &reading.endpoint, reading.shared, reading.tokens);
--- a/src/router/roster.rs
+++ b/src/router/roster.rs
@@ -34,7 +34,7 @@
 
 /// The VM list as one router sees it.
 #[derive(Debug)]
-pub(crate) struct Roster {
+pub(crate) struct VmIndex {
     me: VmId,
     list: VmList,
     places: IndexMap<VmId, usize, BuildHasherDefault<FastHasher>>,
@@ -42,7 +42,7 @@
     serving: Arc<[VmId]>,
 }
 
-impl Roster {
+impl VmIndex {
     /// Makes an empty one, for the router on this VM.
     pub(crate) fn new(me: VmId) -> Self {
         Self {
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -22,7 +22,6 @@
 use crate::moment::BootId;
 use crate::moment::HostId;
 use crate::moment::Moment;
-use crate::router::AdminId;
 use crate::router::AdminRequest;
 use crate::router::Arrival;
 use crate::router::Core;
@@ -31,6 +30,7 @@
 use crate::router::Event;
 use crate::router::Pace;
 use crate::router::Problem;
+use crate::router::ReplyId;
 use crate::router::Run;
 use crate::router::RunEnd;
 use crate::router::Secret;
@@ -183,7 +183,7 @@
             team: "loans".parse().expect("a name"),
             amount: Tokens(amount),
         };
-        self.tell(0, Event::Admin(AdminId(u64::MAX), request));
+        self.tell(0, Event::Admin(ReplyId(u64::MAX), request));
         self.pass(200);
     }
 
@@ -225,9 +225,9 @@
             Effect::Keep(batches, peers) if self.linked && !peers.is_empty() => {
                 let other = 1 - at;
                 self.left += batches.batches.iter().map(Vec::len).sum::<usize>();
-                let event = Event::Keep(AdminId(0), batches.clone());
+                let event = Event::Keep(ReplyId(0), batches.clone());
                 let answers = self.nodes[other].core.handle(self.now, event);
-                let keeps = |e: &Effect| matches!(e, Effect::Answer(AdminId(0), 200, _));
+                let keeps = |e: &Effect| matches!(e, Effect::Answer(ReplyId(0), 200, _));
                 if answers.iter().any(keeps) {
                     let event = Event::Kept {
                         peer: peers[0].vm.clone(),
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -5,14 +5,14 @@
 use crate::ids::Incarnation;
 use crate::ids::Offset;
 use crate::ids::RequestId;
-use crate::router::AdminId;
+use crate::router::BudgetTransfer;
 use crate::router::Effect;
 use crate::router::Event;
-use crate::router::Gift;
 use crate::router::GrantEvent;
-use crate::router::LoanAsk;
+use crate::router::LoanRequest;
 use crate::router::ProblemKind;
 use crate::router::Ran;
+use crate::router::ReplyId;
 use crate::router::RunEnd;
 use crate::router::Usage;
 use crate::router::tests::site::LINGER;
@@ -278,7 +278,7 @@
 }
 
 /// Returns the questions for loans.
-fn borrowed(site: &Site) -> Vec<LoanAsk> {
+fn borrowed(site: &Site) -> Vec<LoanRequest> {
     let asked = site.effects.iter().filter_map(|effect| match effect {
         Effect::Borrow(ask, _) => Some(ask.clone()),
         _ => None,
@@ -294,7 +294,7 @@
     let id = site.ask("stream", 1000, 50);
     site.tell(Event::Ended(id, whole(50)));
     site.pass(3000);
-    let ask = LoanAsk {
+    let ask = LoanRequest {
         borrower: Incarnation(99),
         number: 1,
         team: "loans".parse().expect("a name"),
@@ -303,14 +303,14 @@
         priority: 0,
     };
     let lend = |site: &mut Site| {
-        let lent = site.core.funds.lend(site.now, AdminId(1), &ask);
+        let lent = site.core.funds.lend(site.now, ReplyId(1), &ask);
         lent.expect("it is answered at once")
     };
     let first = lend(&mut site);
     let again = lend(&mut site);
     assert!(first > Tokens::ZERO);
     assert_eq!(first, again);
-    let gift = Gift {
+    let gift = BudgetTransfer {
         giver: Incarnation(99),
         number: 2,
         team: ask.team.clone(),
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/isolated.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::Lean;
 use crate::router::Event;
-use crate::router::Silence;
+use crate::router::PeerFailure;
 use crate::router::Tuning;
 use crate::router::tests::bench::Bench;
 use crate::router::tests::bench::Log;
@@ -22,7 +22,7 @@
 }
 
 /// Lets a router be silent to the second one in one way, and returns how long it takes until it is closed.
-fn closed_after(bench: &mut Bench, silence: Silence) -> Duration {
+fn closed_after(bench: &mut Bench, silence: PeerFailure) -> Duration {
     let dead = bench.nodes[0].core.me;
     bench.linked = false;
     let begun = bench.now;
@@ -41,9 +41,9 @@
 /// partition, and keeps what it holds for as long as one lasts.
 #[test]
 fn a_silent_router_is_closed_by_the_kind_of_its_silence() {
-    let refused = closed_after(&mut bench(Lean::Strict), Silence::Refused);
-    let mute = closed_after(&mut bench(Lean::Strict), Silence::Mute);
-    let away = closed_after(&mut bench(Lean::Strict), Silence::Unreachable);
+    let refused = closed_after(&mut bench(Lean::Strict), PeerFailure::Refused);
+    let mute = closed_after(&mut bench(Lean::Strict), PeerFailure::Mute);
+    let away = closed_after(&mut bench(Lean::Strict), PeerFailure::Unreachable);
     assert!(refused < Duration::from_secs(3), "{refused:?}");
     assert!(
         mute >= Duration::from_secs(12) && mute < Duration::from_secs(16),
@@ -54,7 +54,7 @@
         "{away:?}"
     );
     // Where refusals weigh more, one that may serve is not robbed of what it holds either.
-    let mute = closed_after(&mut bench(Lean::Available), Silence::Mute);
+    let mute = closed_after(&mut bench(Lean::Available), PeerFailure::Mute);
     assert!(mute >= PARTED, "{mute:?}");
 }
 
@@ -64,7 +64,7 @@
 #[test]
 fn a_router_that_is_cut_off_stops_before_the_others_may_close_it() {
     for lean in [Lean::Strict, Lean::Available] {
-        for silence in [Silence::Mute, Silence::Unreachable] {
+        for silence in [PeerFailure::Mute, PeerFailure::Unreachable] {
             let mut one = bench(lean);
             one.log = Log::Down;
             one.linked = false;
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -4,9 +4,9 @@
 use crate::ids::Sequence;
 use crate::router::Event;
 use crate::router::KeptBatches;
+use crate::router::PeerFailure;
 use crate::router::ProblemKind;
 use crate::router::Ran;
-use crate::router::Silence;
 use crate::router::Tuning;
 use crate::router::members::Members;
 use crate::router::tests::bench::Bench;
@@ -164,7 +164,7 @@
     bench.log = Log::Up;
     for _ in 0..80 {
         let vm = "router-0".parse().expect("a name");
-        bench.tell(0, Event::Unheard(vm, Silence::Refused));
+        bench.tell(0, Event::Unheard(vm, PeerFailure::Refused));
         bench.pass(100);
     }
     assert!(!bench.ledger().is_open(dead));
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -2,16 +2,16 @@
 
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
-use crate::router::AdminId;
+use crate::router::BudgetTransfer;
 use crate::router::Effect;
 use crate::router::Event;
-use crate::router::Gift;
 use crate::router::Heartbeat;
-use crate::router::LoanAsk;
+use crate::router::LoanRequest;
 use crate::router::Peer;
+use crate::router::ReplyId;
 use crate::router::RunEnd;
 use crate::router::Usage;
-use crate::router::event::PurseWord;
+use crate::router::event::TeamBudget;
 use crate::router::tests::site::Log;
 use crate::router::tests::site::Site;
 use crate::router::tests::site::entry;
@@ -64,7 +64,7 @@
 }
 
 /// Returns the questions for loans, and whom they went to.
-fn asked(site: &Site) -> Vec<(LoanAsk, Peer)> {
+fn asked(site: &Site) -> Vec<(LoanRequest, Peer)> {
     let asked = site.effects.iter().filter_map(|effect| match effect {
         Effect::Borrow(ask, peer) => Some((ask.clone(), peer.clone())),
         _ => None,
@@ -90,7 +90,7 @@
 
 /// The same for a request of a priority.
 fn ask_owner_for(site: &mut Site, priority: u8, number: u64, id: u64, amount: u64) {
-    let ask = LoanAsk {
+    let ask = LoanRequest {
         borrower: Incarnation(99),
         number,
         team: "loans".parse().expect("a name"),
@@ -98,13 +98,13 @@
         asked: Tokens(number * amount),
         priority,
     };
-    site.tell(Event::LoanAsked(AdminId(id), ask));
+    site.tell(Event::LoanAsked(ReplyId(id), ask));
 }
 
 /// Returns what a question for a loan was answered.
 fn lent(site: &Site, id: u64) -> Option<u64> {
     site.effects.iter().find_map(|effect| match effect {
-        Effect::Answer(AdminId(of), _, body) if *of == id => body.as_u64(),
+        Effect::Answer(ReplyId(of), _, body) if *of == id => body.as_u64(),
         _ => None,
     })
 }
@@ -159,7 +159,7 @@
     };
     site.tell(Event::Ended(id, RunEnd::Whole { usage }));
     site.pass(15_000);
-    let gifts: Vec<&Gift> = site
+    let gifts: Vec<&BudgetTransfer> = site
         .effects
         .iter()
         .filter_map(|effect| match effect {
@@ -328,7 +328,7 @@
 
 /// Has another router say that plenty of a team's budget lies idle there.
 fn hear_owner(site: &mut Site, team: &str) {
-    let word = PurseWord {
+    let word = TeamBudget {
         team: team.parse().expect("a name"),
         free: Tokens(500_000),
         demand: 0,
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -12,9 +12,9 @@
 use crate::ledger::Ledger;
 use crate::router::Effect;
 use crate::router::Event;
+use crate::router::PeerFailure;
 use crate::router::Ran;
 use crate::router::RunEnd;
-use crate::router::Silence;
 use crate::router::Usage;
 use crate::router::request::State;
 use crate::router::tests::bench::Bench;
@@ -134,9 +134,9 @@
             Step::Unheard(at, kind) => {
                 let vm = format!("router-{}", 1 - at).parse().expect("a name");
                 let silence = match kind % 3 {
-                    0 => Silence::Refused,
-                    1 => Silence::Mute,
-                    _ => Silence::Unreachable,
+                    0 => PeerFailure::Refused,
+                    1 => PeerFailure::Mute,
+                    _ => PeerFailure::Unreachable,
                 };
                 bench.tell(at, Event::Unheard(vm, silence));
             }
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -39,7 +39,7 @@
 use crate::router::Tuning;
 use crate::router::Usage;
 use crate::router::Work;
-use crate::router::event::PurseWord;
+use crate::router::event::TeamBudget;
 use crate::router::tests::bench::boot_clock;
 use crate::router::tests::bench::tuning;
 use crate::tokens::Tokens;
@@ -365,7 +365,7 @@
             table: TableVersion(0),
             drained: DrainedDomains::default(),
             clock: self.wall(),
-            purses: vec![PurseWord {
+            purses: vec![TeamBudget {
                 team: name("loans"),
                 free: Tokens(free),
                 demand: 0,
--- a/src/router/tests/starved.rs
+++ b/src/router/tests/starved.rs
@@ -10,7 +10,7 @@
 use crate::router::Event;
 use crate::router::GrantEvent;
 use crate::router::Heartbeat;
-use crate::router::event::PurseWord;
+use crate::router::event::TeamBudget;
 use crate::router::tests::site::Site;
 use crate::router::tests::site::WALL;
 use crate::router::tests::site::payer;
@@ -129,7 +129,7 @@
     let mut site = starved(&["loans"]);
     let before = newest(&site, "maps").granted;
     let beat = Heartbeat {
-        purses: vec![PurseWord {
+        purses: vec![TeamBudget {
             team: "maps".parse().expect("a name"),
             free: Tokens::ZERO,
             demand: 100_000,
