--- a/src/edge/call.rs
+++ b/src/edge/call.rs
@@ -159,7 +159,7 @@
         Ok(Err(end)) => engine::examined(&desk, &run, end).await,
         Err(_) => engine::broken(),
     };
-    desk.tell(Event::Ended(id, end));
+    desk.tell(Event::RunEnded(id, end));
 }
 
 async fn ask(desk: &Desk, id: RequestId, run: &Run, call: Call) -> Result<Answer, RunEnd> {
--- a/src/edge/chat.rs
+++ b/src/edge/chat.rs
@@ -100,7 +100,7 @@
                 let end = engine::examined(&desk, &run, end).await;
                 // Not sooner: a caller that hangs up meanwhile must have its run cancelled and its use counted.
                 line.run = None;
-                desk.tell(Event::Ended(line.id, end));
+                desk.tell(Event::RunEnded(line.id, end));
             }
         }
     }
@@ -140,7 +140,7 @@
     let mut rest = answer.into_body();
     while let Some(Ok(frame)) = rest.frame().await {
         if let Ok(bytes) = frame.into_data() {
-            desk.tell(Event::Started(id));
+            desk.tell(Event::AnswerStarted(id));
             return Begun::Stream(bytes, rest);
         }
     }
@@ -157,7 +157,7 @@
         Finish {
             whole: Some(true),
             usage: Some(usage),
-        } => Begun::Whole(body, RunEnd::Whole { usage }),
+        } => Begun::Whole(body, RunEnd::Completed { usage }),
         _ => Begun::Over(engine::broken()),
     }
 }
@@ -165,7 +165,7 @@
 /// Holds an answer until it is billed.
 async fn finish(line: &mut Line, answer: Vec<u8>, end: RunEnd, res: &mut Response) {
     line.run = None;
-    line.desk.tell(Event::Ended(line.id, end));
+    line.desk.tell(Event::RunEnded(line.id, end));
     match line.next().await {
         Some(Command::Release) => {
             line.over = true;
--- a/src/edge/checkpoint.rs
+++ b/src/edge/checkpoint.rs
@@ -37,7 +37,7 @@
     };
     let restored = timeout(RESTORE, newest(&log, first)).await.ok().flatten();
     if restored.is_some_and(|restored| restored.ledger.next() >= as_of) {
-        log.desk.tell(Event::Checkpointed { as_of, first });
+        log.desk.tell(Event::CheckpointWritten { as_of, first });
     }
 }
 
--- a/src/edge/desk.rs
+++ b/src/edge/desk.rs
@@ -145,7 +145,7 @@
             None => Some(command),
         };
         if let Some(Command::Run(_)) = lost {
-            self.tell(Event::Ended(id, RunEnd::Unsent));
+            self.tell(Event::RunEnded(id, RunEnd::Unsent));
         }
     }
 
@@ -175,19 +175,19 @@
 
     /// Asks the core whether it keeps a peer's batches.
     pub(crate) async fn keep(&self, batches: KeptBatches) -> bool {
-        let answer = self.question(|id| Event::Keep(id, batches)).await;
+        let answer = self.question(|id| Event::KeepBatches(id, batches)).await;
         answer.is_some_and(|(status, _)| status == 200)
     }
 
     /// Asks the core to take what a peer hands over.
     pub(crate) async fn given(&self, gift: BudgetTransfer) -> bool {
-        let answer = self.question(|id| Event::Given(id, gift)).await;
+        let answer = self.question(|id| Event::TransferReceived(id, gift)).await;
         answer.is_some_and(|(status, _)| status == 200)
     }
 
     /// Asks the core for a loan to a peer.
     pub(crate) async fn lend(&self, ask: LoanRequest) -> Option<Tokens> {
-        let (_, answer) = self.question(|id| Event::LoanAsked(id, ask)).await?;
+        let (_, answer) = self.question(|id| Event::LoanRequested(id, ask)).await?;
         serde_json::from_value(answer).ok()
     }
 
@@ -296,7 +296,7 @@
         // A run that lies here unread has not been sent, and now won't be.
         while let Ok(command) = self.commands.try_recv() {
             if let Command::Run(_) = command {
-                return self.desk.tell(Event::Ended(self.id, RunEnd::Unsent));
+                return self.desk.tell(Event::RunEnded(self.id, RunEnd::Unsent));
             }
         }
         match (self.run.take(), Handle::try_current()) {
@@ -305,10 +305,10 @@
                 let id = self.id;
                 handle.spawn(async move {
                     let usage = engine::cancel(&desk, id, &run).await;
-                    desk.tell(Event::Ended(id, RunEnd::CallerGone { usage }));
+                    desk.tell(Event::RunEnded(id, RunEnd::CallerGone { usage }));
                 });
             }
-            _ => self.desk.tell(Event::HungUp(self.id)),
+            _ => self.desk.tell(Event::CallerGone(self.id)),
         }
     }
 }
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -284,39 +284,39 @@
             Effect::Refuse(id, problem) => self.desk.command(id, Command::Refuse(problem)),
             Effect::Replay(id, replay) => self.desk.command(id, Command::Replay(replay)),
             Effect::Run(id, run) => self.desk.command(id, Command::Run(run)),
-            Effect::Release(id) => self.desk.command(id, Command::Release),
-            Effect::Leave(id) => self.desk.command(id, Command::Leave),
-            Effect::Cut(id, problem) => self.desk.command(id, Command::Cut(problem)),
-            Effect::Beat(beat, peers) => {
+            Effect::FinishAnswer(id) => self.desk.command(id, Command::Release),
+            Effect::Abandon(id) => self.desk.command(id, Command::Leave),
+            Effect::Abort(id, problem) => self.desk.command(id, Command::Cut(problem)),
+            Effect::SendHeartbeat(beat, peers) => {
                 self.desk.set_beat(self.clock.now(), beat.clone());
                 for peer in peers {
                     tokio::spawn(self.peers.clone().beat(beat.clone(), peer));
                 }
             }
-            Effect::Keep(batches, peers) => {
+            Effect::KeepBatches(batches, peers) => {
                 for peer in peers {
                     tokio::spawn(self.peers.clone().keep(batches.clone(), peer));
                 }
             }
-            Effect::Relay(snapshot, peer) => {
+            Effect::SendConfig(snapshot, peer) => {
                 tokio::spawn(self.peers.clone().relay(snapshot, peer));
             }
             Effect::OfferTable(table) => self.desk.set_table(table),
             Effect::FetchTable(peer) => {
                 tokio::spawn(self.peers.clone().table(peer));
             }
-            Effect::Tell(reading, peers) => {
+            Effect::SendPromptNotice(reading, peers) => {
                 if let Some(teller) = self.teller.as_ref().filter(|_| !self.peers.is_late()) {
                     teller.tell(&reading, &peers);
                 }
             }
-            Effect::Give(gift, peer) => {
+            Effect::TransferBudget(gift, peer) => {
                 tokio::spawn(self.peers.clone().give(gift, peer));
             }
-            Effect::Borrow(ask, peer) => {
+            Effect::RequestLoan(ask, peer) => {
                 tokio::spawn(self.peers.clone().borrow(ask, peer));
             }
-            Effect::Order(order) => {
+            Effect::SendOrder(order) => {
                 tokio::spawn(engine::order(self.desk.clone(), order));
             }
             Effect::Probe(vm, address) => {
--- a/src/edge/engine.rs
+++ b/src/edge/engine.rs
@@ -85,7 +85,7 @@
 
 /// The endpoint failed, and nothing went out.
 pub(crate) fn broken() -> RunEnd {
-    RunEnd::Broken {
+    RunEnd::Failed {
         usage: None,
         begun: false,
         died: false,
@@ -95,7 +95,7 @@
 /// Notes in the end of a broken run whether its endpoint died.
 pub(crate) async fn examined(desk: &Desk, run: &Run, end: RunEnd) -> RunEnd {
     match end {
-        RunEnd::Broken { usage, begun, .. } => RunEnd::Broken {
+        RunEnd::Failed { usage, begun, .. } => RunEnd::Failed {
             usage,
             begun,
             died: is_dead(desk, &run.address).await,
@@ -114,7 +114,7 @@
         .map(Duration::from_secs);
     match answer.status().as_u16() {
         400..=499 | 503 => RunEnd::NotRun { retry },
-        _ => RunEnd::Broken {
+        _ => RunEnd::Failed {
             usage: Some(Usage::default()),
             begun: false,
             died: false,
--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -101,7 +101,7 @@
 
     /// Makes the event of a request with this head.
     pub(crate) fn arrival(self, id: RequestId, work: Work, request: Fingerprint) -> Event {
-        Event::Arrived(Box::new(Arrival {
+        Event::RequestArrived(Box::new(Arrival {
             id,
             bearer: self.bearer,
             key: Some(self.key),
--- a/src/edge/log.rs
+++ b/src/edge/log.rs
@@ -168,7 +168,7 @@
         if stream == CONFIG {
             return first;
         }
-        self.desk.tell(Event::LedgerGone);
+        self.desk.tell(Event::LedgerTruncated);
         sleep(REST).await;
         from.max(self.desk.ledger_next())
     }
--- a/src/edge/peers.rs
+++ b/src/edge/peers.rs
@@ -109,7 +109,7 @@
 impl Peering for Server {
     async fn beat(self, _: Context, version: u32, beat: Heartbeat) -> Result<Heartbeat, Refused> {
         check(version)?;
-        self.0.tell(Event::Heard(beat));
+        self.0.tell(Event::HeartbeatReceived(beat));
         self.0.beat(SystemClock.now()).ok_or(Refused::NotReady)
     }
 
@@ -214,9 +214,11 @@
             self.note_round_trip(asked);
         }
         match answer {
-            Ok(Ok(word)) => self.desk.tell(Event::Heard(word)),
-            Ok(Err(_)) => self.desk.tell(Event::Unheard(peer.vm, PeerFailure::Mute)),
-            Err(silence) => self.desk.tell(Event::Unheard(peer.vm, silence)),
+            Ok(Ok(word)) => self.desk.tell(Event::HeartbeatReceived(word)),
+            Ok(Err(_)) => self
+                .desk
+                .tell(Event::HeartbeatFailed(peer.vm, PeerFailure::Mute)),
+            Err(silence) => self.desk.tell(Event::HeartbeatFailed(peer.vm, silence)),
         }
     }
 
@@ -243,13 +245,13 @@
             client.keep(deadline(CALL), VERSION, batches).await
         };
         match self.call(&peer.address, CALL, call).await {
-            Ok(Ok(())) => self.desk.tell(Event::Kept {
+            Ok(Ok(())) => self.desk.tell(Event::BatchesKept {
                 peer: peer.vm,
                 router,
                 last,
                 records,
             }),
-            Ok(Err(_)) => self.desk.tell(Event::Unkept(peer.vm)),
+            Ok(Err(_)) => self.desk.tell(Event::BatchesRejected(peer.vm)),
             Err(silence) => info!(event = "not-kept", vm = %peer.vm, ?silence),
         }
     }
@@ -267,7 +269,7 @@
                 break;
             }
         }
-        self.desk.tell(Event::Taken(gift, taken));
+        self.desk.tell(Event::TransferAnswered(gift, taken));
     }
 
     /// Asks a peer for a loan, and tells the core. The core asks again where no answer came.
@@ -285,7 +287,7 @@
                 None
             }
         };
-        self.desk.tell(Event::Lent(ask, amount));
+        self.desk.tell(Event::LoanAnswered(ask, amount));
     }
 
     /// Returns whether all that this router does is late, so that it had better do without what is not needed.
@@ -312,11 +314,11 @@
             Ok(Ok(table)) => self.desk.tell(Event::Table(Arc::new(table))),
             Ok(Err(refused)) => {
                 info!(event = "no-config", vm = %peer.vm, ?refused);
-                self.desk.tell(Event::TableUnsent(peer.vm));
+                self.desk.tell(Event::TableFetchFailed(peer.vm));
             }
             Err(silence) => {
                 info!(event = "no-config", vm = %peer.vm, ?silence);
-                self.desk.tell(Event::TableUnsent(peer.vm));
+                self.desk.tell(Event::TableFetchFailed(peer.vm));
             }
         }
     }
--- a/src/edge/probe.rs
+++ b/src/edge/probe.rs
@@ -63,11 +63,13 @@
     /// Asks one endpoint for its load and its cache's events.
     pub(crate) async fn probe(self, vm: VmId, address: String) {
         let load = self.get(&format!("http://{address}/v1/load")).await;
-        self.desk.tell(Event::Checked(vm.clone(), load.is_some()));
+        self.desk
+            .tell(Event::HealthChecked(vm.clone(), load.is_some()));
         let Some(load) = load.and_then(|body| serde_json::from_slice(&body).ok()) else {
             return;
         };
-        self.desk.tell(Event::Load(vm.clone(), measured(load)));
+        self.desk
+            .tell(Event::EndpointLoad(vm.clone(), measured(load)));
         self.read_events(vm, &address).await;
     }
 
@@ -83,7 +85,7 @@
         self.next().insert(vm.clone(), next);
         if !page.events.is_empty() {
             let events = page.events.into_iter().map(read_row).collect();
-            self.desk.tell(Event::Cache(vm, events));
+            self.desk.tell(Event::CacheEvents(vm, events));
         }
     }
 
--- a/src/edge/pump.rs
+++ b/src/edge/pump.rs
@@ -159,7 +159,7 @@
     async fn end_whole(mut self, usage: Usage, end: Bytes) {
         self.line
             .desk
-            .tell(Event::Ended(self.line.id, RunEnd::Whole { usage }));
+            .tell(Event::RunEnded(self.line.id, RunEnd::Completed { usage }));
         let command = self.line.next().await;
         self.line.over = true;
         match command {
@@ -180,14 +180,14 @@
         };
         let usage = Some(told.unwrap_or(known));
         let end = match broken {
-            true => RunEnd::Broken {
+            true => RunEnd::Failed {
                 usage,
                 begun: true,
                 died: engine::is_dead(&self.line.desk, &self.run.address).await,
             },
             false => RunEnd::CallerGone { usage },
         };
-        self.line.desk.tell(Event::Ended(self.line.id, end));
+        self.line.desk.tell(Event::RunEnded(self.line.id, end));
         if broken {
             self.line.next().await;
         }
--- a/src/edge/relay/serve.rs
+++ b/src/edge/relay/serve.rs
@@ -162,7 +162,7 @@
     pub(crate) fn started(&self) {
         let desk = &self.line.desk;
         desk.metrics.first_byte(self.line.opened.elapsed());
-        desk.tell(Event::Started(self.line.id));
+        desk.tell(Event::AnswerStarted(self.line.id));
     }
 
     /// Tells the core how the run ended.
@@ -171,7 +171,7 @@
         let desk = &self.line.desk;
         desk.metrics.ended(end.name());
         desk.metrics.took(self.line.opened.elapsed());
-        desk.tell(Event::Ended(self.line.id, end));
+        desk.tell(Event::RunEnded(self.line.id, end));
     }
 
     /// Returns the most tokens that one event holds.
@@ -219,7 +219,7 @@
 
 /// Returns the end of a run that broke off, of which so much went to the caller.
 pub(crate) fn broken(usage: Option<Usage>, begun: bool) -> RunEnd {
-    RunEnd::Broken {
+    RunEnd::Failed {
         usage,
         begun,
         died: false,
@@ -259,7 +259,7 @@
         patience: ask.patience,
         priority: None,
     };
-    relays.desk.tell(Event::Arrived(Box::new(arrival)));
+    relays.desk.tell(Event::RequestArrived(Box::new(arrival)));
     Ok(Runner {
         line,
         ask,
--- a/src/edge/relay/stream.rs
+++ b/src/edge/relay/stream.rs
@@ -71,7 +71,7 @@
             let usage = self.usage();
             match end {
                 End::Whole(connection) => {
-                    self.runner.end(RunEnd::Whole { usage });
+                    self.runner.end(RunEnd::Completed { usage });
                     self.relays.keep(connection);
                     return;
                 }
--- a/src/edge/tell.rs
+++ b/src/edge/tell.rs
@@ -62,7 +62,7 @@
             };
             match buffer[..length].split_first() {
                 Some((&VERSION, bytes)) => match postcard::from_bytes(bytes) {
-                    Ok(reading) => desk.tell(Event::Reads(reading)),
+                    Ok(reading) => desk.tell(Event::PromptNotice(reading)),
                     Err(error) => warn!(event = "datagram-unreadable", %error),
                 },
                 _ => warn!(event = "datagram-version", length),
--- a/src/platform/grants.rs
+++ b/src/platform/grants.rs
@@ -53,7 +53,7 @@
                 ReadError::Gone => GrantEvent::Gone,
                 error => {
                     warn!(event = "grants-unread", %error);
-                    GrantEvent::Unread
+                    GrantEvent::ReadFailed
                 }
             });
             desk.tell(Event::Grants(event));
--- a/src/platform/registry.rs
+++ b/src/platform/registry.rs
@@ -116,7 +116,7 @@
         lists.known = true;
         self.tell(lists, changed);
         if !cold.is_empty() {
-            self.desk.tell(Event::Cold(cold));
+            self.desk.tell(Event::ColdEndpoints(cold));
         }
     }
 
--- a/src/platform/start.rs
+++ b/src/platform/start.rs
@@ -187,7 +187,7 @@
         match read {
             Ok(settings) => {
                 info!(event = "reload", path = %path.display());
-                desk.tell(Event::Tuned(Box::new(tuning(&settings, boot))));
+                desk.tell(Event::SettingsChanged(Box::new(tuning(&settings, boot))));
             }
             Err(error) => warn!(event = "settings-unreadable", path = %path.display(), %error),
         }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -287,7 +287,7 @@
     registry.servers(News::All(rows.to_vec()));
     let mut words = Vec::new();
     while let Ok(event) = events.try_recv() {
-        if let Event::Cold(cold) = event {
+        if let Event::ColdEndpoints(cold) = event {
             words.extend(cold.into_iter().map(|(_, left)| left.as_millis()));
         }
     }
--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -187,7 +187,8 @@
         };
         self.funds.wind_down();
         let peers = self.members.roster.peers().to_vec();
-        self.effects.push(Effect::Beat(self.heartbeat(now), peers));
+        self.effects
+            .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
     }
 
     /// Says what an early end cuts off.
--- a/src/router/effect.rs
+++ b/src/router/effect.rs
@@ -36,11 +36,11 @@
     /// Sends a request to an endpoint and relays the answer, all but its end.
     Run(RequestId, Box<Run>),
     /// Lets the end of an answer go out.
-    Release(RequestId),
+    FinishAnswer(RequestId),
     /// Leaves the endpoint that runs a request and says nothing.
-    Leave(RequestId),
+    Abandon(RequestId),
     /// Ends an answer so that the caller knows that it is not whole; one that has not begun ends as this refusal.
-    Cut(RequestId, Box<Problem>),
+    Abort(RequestId, Box<Problem>),
     /// Appends a batch to the ledger.
     Append {
         /// Whose batch it is.
@@ -51,13 +51,13 @@
         bytes: Vec<u8>,
     },
     /// Sends a heartbeat to peers.
-    Beat(Heartbeat, Vec<Peer>),
+    SendHeartbeat(Heartbeat, Vec<Peer>),
     /// Appends a batch that a dead router left with this one.
     AppendKept(Vec<u8>),
     /// Asks peers to keep batches.
-    Keep(KeptBatches, Vec<Peer>),
+    KeepBatches(KeptBatches, Vec<Peer>),
     /// Sends the configuration to a peer that is behind.
-    Relay(Box<Snapshot>, Peer),
+    SendConfig(Box<Snapshot>, Peer),
     /// Has a configuration that was handed over whole ready for peers that are behind.
     OfferTable(Arc<RouteTable>),
     /// Asks a peer for such a configuration.
@@ -73,13 +73,13 @@
     /// Reads grants from an offset on, or the newest of each key.
     ReadGrants(Option<Offset>),
     /// Tells the other routers of a long prompt; one that does not hear of it chooses a little worse.
-    Tell(PromptNotice, Arc<[Peer]>),
+    SendPromptNotice(PromptNotice, Arc<[Peer]>),
     /// Hands budget over to another router.
-    Give(BudgetTransfer, Peer),
+    TransferBudget(BudgetTransfer, Peer),
     /// Asks another router for a loan.
-    Borrow(LoanRequest, Peer),
+    RequestLoan(LoanRequest, Peer),
     /// Gives an endpoint an order.
-    Order(Order),
+    SendOrder(Order),
     /// Asks an endpoint for its load and its cache events.
     Probe(VmId, String),
     /// Answers an operator.
--- a/src/router/event.rs
+++ b/src/router/event.rs
@@ -35,13 +35,13 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     /// A caller's request was read whole.
-    Arrived(Box<Arrival>),
+    RequestArrived(Box<Arrival>),
     /// The caller is gone before its answer began.
-    HungUp(RequestId),
+    CallerGone(RequestId),
     /// The endpoint's first token, or the head of its answer, came.
-    Started(RequestId),
+    AnswerStarted(RequestId),
     /// A run is over; all of the answer but its end marker went to the caller.
-    Ended(RequestId, RunEnd),
+    RunEnded(RequestId, RunEnd),
     /// The log service answered an append to the ledger, or did not.
     Appended {
         /// The incarnation whose batch it was.
@@ -56,9 +56,9 @@
     /// Records of the configuration's stream.
     ConfigEntries(Vec<Entry>),
     /// The log has let go records of the ledger that this router did not read.
-    LedgerGone,
+    LedgerTruncated,
     /// A checkpoint that this router wrote stands whole.
-    Checkpointed {
+    CheckpointWritten {
         /// The offset of the first record that it has not folded.
         as_of: Offset,
         /// Where in its stream its first part stands.
@@ -73,13 +73,13 @@
     /// The VM list, as the platform shows it.
     VmList(VmList),
     /// A peer was heard, either way.
-    Heard(Heartbeat),
+    HeartbeatReceived(Heartbeat),
     /// A peer did not answer a heartbeat.
-    Unheard(VmId, PeerFailure),
+    HeartbeatFailed(VmId, PeerFailure),
     /// A peer asks this router to keep the batches that it cannot append.
-    Keep(ReplyId, KeptBatches),
+    KeepBatches(ReplyId, KeptBatches),
     /// A peer keeps this router's batches up to this number.
-    Kept {
+    BatchesKept {
         /// Who keeps it.
         peer: VmId,
         /// The incarnation whose batches they are.
@@ -90,39 +90,39 @@
         records: usize,
     },
     /// An endpoint was asked how it is, and answered or did not.
-    Checked(VmId, bool),
+    HealthChecked(VmId, bool),
     /// A peer can't keep this router's batches, for it lacks those before them.
-    Unkept(VmId),
+    BatchesRejected(VmId),
     /// What an endpoint says of its load.
-    Load(VmId, EndpointLoad),
+    EndpointLoad(VmId, EndpointLoad),
     /// What an endpoint says of its cache.
-    Cache(VmId, Vec<CacheEvent>),
+    CacheEvents(VmId, Vec<CacheEvent>),
     /// An operator asks for something.
     Admin(ReplyId, AdminRequest),
     /// Which failure domains the operator drains.
     DrainedDomains(DrainedDomains),
     /// Endpoints say how much longer they are cold.
-    Cold(Vec<(VmId, Duration)>),
+    ColdEndpoints(Vec<(VmId, Duration)>),
     /// A whole configuration from a platform that hands it over at once.
     Table(Arc<RouteTable>),
     /// A peer that was asked for its configuration did not send it.
-    TableUnsent(VmId),
+    TableFetchFailed(VmId),
     /// The platform had no newer configuration at a moment than what it has handed over.
     TableConfirmed(Instant),
     /// Something happened at the log that keeps grants.
     Grants(GrantEvent),
     /// Another router asks for a loan.
-    LoanAsked(ReplyId, LoanRequest),
+    LoanRequested(ReplyId, LoanRequest),
     /// Another router sent an endpoint a long prompt.
-    Reads(PromptNotice),
+    PromptNotice(PromptNotice),
     /// Another router hands over what it holds idle.
-    Given(ReplyId, BudgetTransfer),
+    TransferReceived(ReplyId, BudgetTransfer),
     /// Another router has what was handed over to it, or did not answer.
-    Taken(BudgetTransfer, bool),
+    TransferAnswered(BudgetTransfer, bool),
     /// Another router answered a question for a loan, or did not.
-    Lent(LoanRequest, Option<Tokens>),
+    LoanAnswered(LoanRequest, Option<Tokens>),
     /// The settings changed.
-    Tuned(Box<Tuning>),
+    SettingsChanged(Box<Tuning>),
     /// A planned stop begins.
     Drain,
     /// The process was stopped for a while, and goes on.
@@ -258,7 +258,7 @@
     /// The log no longer has the records that were asked for.
     Gone,
     /// A read was not answered.
-    Unread,
+    ReadFailed,
     /// A proposal stands.
     Landed(Offset),
     /// The partition does not end where the proposal says.
@@ -289,7 +289,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RunEnd {
     /// The endpoint gave the whole answer of a completion.
-    Whole {
+    Completed {
         /// What it says that it used.
         usage: Usage,
     },
@@ -308,7 +308,7 @@
     /// Nobody sent the request: its caller was gone when it was dispatched.
     Unsent,
     /// The endpoint failed after it had the request.
-    Broken {
+    Failed {
         /// What is known to have been used; nothing where nobody knows.
         usage: Option<Usage>,
         /// Whether the caller has a part of the answer already, so that it cannot begin again.
@@ -327,10 +327,10 @@
     /// Returns its name, for logs and metrics.
     pub(crate) fn name(&self) -> &'static str {
         match self {
-            Self::Whole { .. } => "whole",
+            Self::Completed { .. } => "whole",
             Self::Answered { .. } => "answered",
             Self::NotRun { .. } => "not-run",
-            Self::Broken { .. } => "broken",
+            Self::Failed { .. } => "broken",
             Self::CallerGone { .. } => "caller-gone",
             Self::Unsent => "unsent",
         }
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -249,7 +249,7 @@
                 self.book.mark_uncertain(at);
                 self.record_failure(now);
             }
-            GrantEvent::Unread => self.record_failure(now),
+            GrantEvent::ReadFailed => self.record_failure(now),
         }
     }
 
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -199,7 +199,7 @@
             asked: need.total_demand,
             priority: need.priority,
         };
-        Effect::Borrow(ask, peer)
+        Effect::RequestLoan(ask, peer)
     }
 
     /// Returns the answer that was already given to a request.
@@ -271,7 +271,7 @@
             now >= entry.last_attempt + RETRY_INTERVAL && is_responsive(&entry.peer)
         })?;
         entry.last_attempt = now;
-        Some(Effect::Borrow(entry.ask.clone(), entry.peer.clone()))
+        Some(Effect::RequestLoan(entry.ask.clone(), entry.peer.clone()))
     }
 
     /// Transfers an amount to the router with the highest demand for the budget. It counts as lent from now on, whether
@@ -316,7 +316,7 @@
             team: team.clone(),
             amount,
         };
-        Effect::Give(gift, peer)
+        Effect::TransferBudget(gift, peer)
     }
 
     /// Returns the next owner in turn, skipping those in backoff.
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -305,7 +305,7 @@
         };
         self.members.relayed.insert(beat.vm.clone(), now);
         let snapshot = Box::new(self.config.snapshot());
-        self.effects.push(Effect::Relay(snapshot, peer));
+        self.effects.push(Effect::SendConfig(snapshot, peer));
     }
 
     /// Returns this router's own word.
@@ -348,7 +348,8 @@
             Accounting::Ledger => self.members.roster.peers().to_vec(),
         };
         self.members.beaten = Some(now);
-        self.effects.push(Effect::Beat(self.heartbeat(now), peers));
+        self.effects
+            .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
         // A router parted from its peers, but not from the log, would be closed for its silence.
         if let Accounting::Grants(_) = self.tuning.accounting {
             return;
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -89,7 +89,7 @@
                     fence,
                     models: models.to_vec(),
                 };
-                self.effects.push(Effect::Order(order));
+                self.effects.push(Effect::SendOrder(order));
             }
         }
     }
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -94,7 +94,7 @@
             records,
             batches: batches.filter(|b| b.sequence > after).map(encode).collect(),
         };
-        self.effects.push(Effect::Keep(batches, vec![peer]));
+        self.effects.push(Effect::KeepBatches(batches, vec![peer]));
     }
 
     /// Takes a peer's word that it lacks what it was left before, as one that began anew does.
@@ -194,7 +194,7 @@
                 answer_end: AnswerEnd::Released,
             };
             info!(event = "bill-kept", request = %id);
-            self.effects.push(Effect::Release(id));
+            self.effects.push(Effect::FinishAnswer(id));
             self.leave_limit(id);
         }
     }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -284,26 +284,26 @@
         let waited = first_token.map(|at| at - *since);
         let time = waited.unwrap_or(now - *since);
         let (sample, evidence) = match end {
-            RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
+            RunEnd::Completed { .. } | RunEnd::Answered { .. } => {
                 (Sample::Answered(time), Some(Evidence::Answered(time)))
             }
             RunEnd::NotRun { retry: Some(_) } => (Sample::Refused, None),
-            RunEnd::NotRun { .. } | RunEnd::Broken { .. } => {
+            RunEnd::NotRun { .. } | RunEnd::Failed { .. } => {
                 (Sample::Other, Some(Evidence::Failed))
             }
             // A caller that gave up on an endpoint's silence tells of the endpoint, one that left early does not.
             RunEnd::CallerGone { .. } if silent => (Sample::Other, Some(Evidence::Failed)),
             RunEnd::CallerGone { .. } | RunEnd::Unsent => (Sample::Other, None),
         };
-        if matches!(end, RunEnd::NotRun { .. } | RunEnd::Broken { .. }) {
+        if matches!(end, RunEnd::NotRun { .. } | RunEnd::Failed { .. }) {
             request.failed_endpoints.push(endpoint.clone());
         }
         let fingerprint = request.fingerprint;
         match end {
-            RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
+            RunEnd::Completed { .. } | RunEnd::Answered { .. } => {
                 self.quarantine.complete(fingerprint, &endpoint);
             }
-            RunEnd::Broken { died: true, .. } => self.endpoint_died(now, &endpoint),
+            RunEnd::Failed { died: true, .. } => self.endpoint_died(now, &endpoint),
             _ => self.quarantine.end(fingerprint, &endpoint),
         }
         let request = &self.requests[&id];
--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -35,7 +35,7 @@
             tokens,
         };
         let peers = self.members.roster.peers();
-        self.effects.push(Effect::Tell(reading, peers));
+        self.effects.push(Effect::SendPromptNotice(reading, peers));
     }
 
     /// Learns from a request's first token.
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -160,7 +160,7 @@
         };
         let stopped = request.relay.as_ref().is_some_and(|terms| terms.stopped);
         match end {
-            RunEnd::Whole { .. } | RunEnd::Answered { .. } | RunEnd::CallerGone { .. } => {
+            RunEnd::Completed { .. } | RunEnd::Answered { .. } | RunEnd::CallerGone { .. } => {
                 self.finish(now, id);
             }
             RunEnd::Unsent => self.finish(now, id),
@@ -173,7 +173,7 @@
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.with_retry(retry.unwrap_or(FAILED_RETRY)));
             }
-            RunEnd::Broken { begun, .. } => {
+            RunEnd::Failed { begun, .. } => {
                 let again = match repeat {
                     Repeat::Never => false,
                     Repeat::Whole => !begun,
@@ -184,7 +184,7 @@
                 }
                 let detail = "the endpoint failed before the answer was whole";
                 let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
-                self.effects.push(Effect::Cut(id, Box::new(problem)));
+                self.effects.push(Effect::Abort(id, Box::new(problem)));
                 self.finish(now, id);
             }
         }
@@ -211,7 +211,7 @@
                 terms.timed_out = true;
             }
             info!(event = "silent", request = %id);
-            self.effects.push(Effect::Leave(id));
+            self.effects.push(Effect::Abandon(id));
         }
     }
 
@@ -228,7 +228,7 @@
         info!(event = "deadline", request = %id);
         let detail = "the request took longer than its route or its caller allows";
         let problem = Problem::new(ProblemKind::Deadline, Ran::Unknown, detail);
-        self.effects.push(Effect::Cut(id, Box::new(problem)));
+        self.effects.push(Effect::Abort(id, Box::new(problem)));
     }
 }
 
@@ -281,8 +281,8 @@
     fn count(&mut self, end: &RunEnd, limit: Tokens) {
         let given = match end {
             RunEnd::NotRun { .. } | RunEnd::Unsent => return,
-            RunEnd::Whole { usage } => Some(usage.answer),
-            RunEnd::Broken { usage, begun, .. } => usage
+            RunEnd::Completed { usage } => Some(usage.answer),
+            RunEnd::Failed { usage, begun, .. } => usage
                 .map(|usage| usage.answer)
                 .or(begun.then_some(Tokens::ZERO)),
             RunEnd::CallerGone { usage } => usage.map(|usage| usage.answer),
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -101,7 +101,7 @@
             return;
         }
         match end {
-            RunEnd::Whole { usage } => {
+            RunEnd::Completed { usage } => {
                 self.bill(id, usage.total(), Outcome::Whole, AnswerEnd::Withheld);
             }
             RunEnd::Answered { status, body } => {
@@ -109,7 +109,7 @@
                 self.bill(id, price, outcome, AnswerEnd::Withheld);
             }
             RunEnd::NotRun { retry } => self.not_run(now, id, retry),
-            RunEnd::Broken { usage, begun, .. } => self.broken(now, id, usage, begun),
+            RunEnd::Failed { usage, begun, .. } => self.broken(now, id, usage, begun),
             RunEnd::CallerGone { usage } => self.caller_gone(id, usage),
             RunEnd::Unsent => self.unsent(now, id),
         }
@@ -155,7 +155,7 @@
         match (verdict, answer_end) {
             (Verdict::Accepted, AnswerEnd::Withheld) => {
                 info!(event = "billed", request = %id);
-                self.effects.push(Effect::Release(id));
+                self.effects.push(Effect::FinishAnswer(id));
             }
             (Verdict::Accepted, AnswerEnd::Released | AnswerEnd::None) => {}
             (_, AnswerEnd::Withheld) => {
@@ -238,12 +238,12 @@
     fn cut(&mut self, id: RequestId, detail: &str) {
         let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
         let problem = problem.with_retry(FAILED_RETRY);
-        self.effects.push(Effect::Cut(id, Box::new(problem)));
+        self.effects.push(Effect::Abort(id, Box::new(problem)));
     }
 
     fn refuse_running(&mut self, id: RequestId, kind: ProblemKind, detail: &str) {
         let problem = Problem::new(kind, Ran::Unknown, detail);
-        self.effects.push(Effect::Cut(id, Box::new(problem)));
+        self.effects.push(Effect::Abort(id, Box::new(problem)));
     }
 
     /// Gives up a request that was dispatched when its caller was gone already.
--- a/src/router/tests/behind.rs
+++ b/src/router/tests/behind.rs
@@ -31,7 +31,7 @@
         table: TableVersion(version),
         ..site.peer_beat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.tell(Event::HeartbeatReceived(beat));
 }
 
 /// Returns how many times a peer was asked for its configuration.
@@ -91,12 +91,12 @@
             table: TableVersion(2),
             ..site.peer_beat(0)
         };
-        site.tell(Event::Heard(beat));
+        site.tell(Event::HeartbeatReceived(beat));
     }
     site.pass(CATCH_UP.as_millis() as u64);
     assert_eq!(fetches(&site), 1);
     let refused = "router-1".parse().expect("a name");
-    site.tell(Event::TableUnsent(refused));
+    site.tell(Event::TableFetchFailed(refused));
     assert_eq!(fetches(&site), 2);
 }
 
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -217,19 +217,19 @@
                 }
             }
             Effect::AppendKept(bytes) if self.log != Log::Down => self.records.push(bytes),
-            Effect::Beat(beat, _) if self.linked => {
+            Effect::SendHeartbeat(beat, _) if self.linked => {
                 for other in (0..self.nodes.len()).filter(|other| *other != at) {
-                    self.tell(other, Event::Heard(beat.clone()));
+                    self.tell(other, Event::HeartbeatReceived(beat.clone()));
                 }
             }
-            Effect::Keep(batches, peers) if self.linked && !peers.is_empty() => {
+            Effect::KeepBatches(batches, peers) if self.linked && !peers.is_empty() => {
                 let other = 1 - at;
                 self.left += batches.batches.iter().map(Vec::len).sum::<usize>();
-                let event = Event::Keep(ReplyId(0), batches.clone());
+                let event = Event::KeepBatches(ReplyId(0), batches.clone());
                 let answers = self.nodes[other].core.handle(self.now, event);
                 let keeps = |e: &Effect| matches!(e, Effect::Answer(ReplyId(0), 200, _));
                 if answers.iter().any(keeps) {
-                    let event = Event::Kept {
+                    let event = Event::BatchesKept {
                         peer: peers[0].vm.clone(),
                         router: batches.router,
                         last: batches.last,
@@ -237,10 +237,10 @@
                     };
                     self.tell(at, event);
                 } else {
-                    self.tell(at, Event::Unkept(peers[0].vm.clone()));
+                    self.tell(at, Event::BatchesRejected(peers[0].vm.clone()));
                 }
             }
-            Effect::Beat(..) | Effect::Keep(..) | Effect::AppendKept(_) => {}
+            Effect::SendHeartbeat(..) | Effect::KeepBatches(..) | Effect::AppendKept(_) => {}
             other => self.nodes[at].out.push(other),
         }
     }
@@ -315,7 +315,7 @@
 
     /// Has a request arrive at a router.
     pub(crate) fn arrive(&mut self, at: usize, arrival: &Arrival) -> RequestId {
-        self.tell(at, Event::Arrived(Box::new(arrival.clone())));
+        self.tell(at, Event::RequestArrived(Box::new(arrival.clone())));
         arrival.id
     }
 
@@ -333,7 +333,7 @@
             prompt: Tokens(3),
             answer: Tokens(20),
         };
-        self.tell(at, Event::Ended(id, RunEnd::Whole { usage }));
+        self.tell(at, Event::RunEnded(id, RunEnd::Completed { usage }));
     }
 
     /// Ends all runs of a router whole.
@@ -391,20 +391,22 @@
     /// Returns a request's refusal.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
         self.out.iter().find_map(|effect| match effect {
-            Effect::Refuse(of, problem) | Effect::Cut(of, problem) if *of == id => Some(&**problem),
+            Effect::Refuse(of, problem) | Effect::Abort(of, problem) if *of == id => {
+                Some(&**problem)
+            }
             _ => None,
         })
     }
 
     /// Returns whether the end of a request's answer went out.
     pub(crate) fn released(&self, id: RequestId) -> bool {
-        let release = |effect: &Effect| matches!(effect, Effect::Release(of) if *of == id);
+        let release = |effect: &Effect| matches!(effect, Effect::FinishAnswer(of) if *of == id);
         self.out.iter().any(release)
     }
 
     /// Returns whether a request's answer was cut.
     pub(crate) fn cut(&self, id: RequestId) -> bool {
-        let cut = |effect: &Effect| matches!(effect, Effect::Cut(of, _) if *of == id);
+        let cut = |effect: &Effect| matches!(effect, Effect::Abort(of, _) if *of == id);
         self.out.iter().any(cut)
     }
 
--- a/src/router/tests/contended.rs
+++ b/src/router/tests/contended.rs
@@ -25,7 +25,7 @@
     bench.pass(500);
     assert!(bench.nodes[0].runs(second).is_empty());
     assert!(bench.nodes[0].refusal(second).is_none());
-    bench.tell(0, Event::Ended(first, answered()));
+    bench.tell(0, Event::RunEnded(first, answered()));
     bench.pass(200);
     assert!(bench.nodes[0].released(first));
     assert_eq!(
@@ -54,7 +54,7 @@
             .collect();
         assert_eq!(runs.iter().sum::<usize>(), 1, "{key}: {runs:?}");
         let winner = runs.iter().position(|r| *r == 1).expect("one ran");
-        bench.tell(winner, Event::Ended(ids[winner], answered()));
+        bench.tell(winner, Event::RunEnded(ids[winner], answered()));
         bench.pass(300);
         assert!(bench.nodes[winner].released(ids[winner]));
         let other = 1 - winner;
@@ -99,7 +99,7 @@
     bench.pass(200);
     refuse(&mut bench, 0);
     refuse(&mut bench, 1);
-    bench.tell(0, Event::Ended(id, answered()));
+    bench.tell(0, Event::RunEnded(id, answered()));
     bench.pass(200);
     refuse(&mut bench, 0);
     refuse(&mut bench, 1);
--- a/src/router/tests/drained_domains.rs
+++ b/src/router/tests/drained_domains.rs
@@ -81,7 +81,7 @@
     let id = site.ask("stream", 10, 5);
     assert_eq!(ran_in(&site, id), Some(0));
     drain(&mut site, 6, &[0]);
-    site.tell(Event::Ended(id, RunEnd::NotRun { retry: None }));
+    site.tell(Event::RunEnded(id, RunEnd::NotRun { retry: None }));
     assert_eq!(ran_in(&site, id), Some(1));
 }
 
@@ -110,7 +110,7 @@
         drained: drained(5, &[0]),
         ..site.peer_beat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.tell(Event::HeartbeatReceived(beat));
     assert!(spread(&mut site, 4).iter().all(|at| *at == Some(1)));
     assert_eq!(site.core.heartbeat(site.now).drained, drained(5, &[0]));
     // An older word, from a peer that does not know yet, changes nothing.
@@ -118,7 +118,7 @@
         drained: drained(4, &[]),
         ..site.peer_beat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.tell(Event::HeartbeatReceived(beat));
     assert!(spread(&mut site, 4).iter().all(|at| *at == Some(1)));
 }
 
@@ -145,11 +145,11 @@
     drain(&mut site, 5, &[1]);
     let vm = |n: usize| format!("endpoint-{n}").parse().expect("a name");
     let words = vec![(vm(0), WARMUP), (vm(1), WARMUP)];
-    site.tell(Event::Cold(words));
+    site.tell(Event::ColdEndpoints(words));
     let ids: Vec<_> = (0..8).map(|_| site.ask("stream", 10, 5)).collect();
     let ran = ids.iter().filter(|id| !site.runs(**id).is_empty()).count();
     assert_eq!(ran, ENDPOINTS * COLD_RATE as usize / 2);
-    site.tell(Event::Cold(vec![(vm(0), Duration::ZERO)]));
+    site.tell(Event::ColdEndpoints(vec![(vm(0), Duration::ZERO)]));
     let ran = ids.iter().filter(|id| !site.runs(**id).is_empty()).count();
     assert_eq!(ran, ids.len());
 }
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -23,7 +23,7 @@
 use crate::tokens::Tokens;
 
 fn broken(begun: bool) -> RunEnd {
-    RunEnd::Broken {
+    RunEnd::Failed {
         usage: None,
         begun,
         died: false,
@@ -42,7 +42,7 @@
     let id = site.ask("stream", 100, 50);
     assert_eq!(site.runs(id).len(), 1);
     assert_eq!(budget(&site, "reserved_here"), 150);
-    site.tell(Event::Ended(id, whole(21)));
+    site.tell(Event::RunEnded(id, whole(21)));
     assert_eq!(budget(&site, "reserved_here"), 0);
     assert_eq!(budget(&site, "spent_here"), 121);
 }
@@ -51,7 +51,7 @@
 fn used(route: &str, end: RunEnd) -> u64 {
     let mut site = Site::start(10_000);
     let id = site.ask(route, 100, 50);
-    site.tell(Event::Ended(id, end));
+    site.tell(Event::RunEnded(id, end));
     assert_eq!(budget(&site, "reserved_here"), 0);
     budget(&site, "spent_here")
 }
@@ -95,7 +95,7 @@
 fn a_spent_budget_is_said_at_once() {
     let mut site = Site::start(1000);
     let id = site.ask("stream", 900, 50);
-    site.tell(Event::Ended(id, whole(50)));
+    site.tell(Event::RunEnded(id, whole(50)));
     let id = site.ask("stream", 100, 50);
     site.pass(40);
     let problem = site.refusal(id).expect("it is refused");
@@ -121,12 +121,12 @@
     site.pass(1500);
     site.hear_peer(500_000);
     let ask = site.effects.iter().find_map(|effect| match effect {
-        Effect::Borrow(ask, _) => Some(ask.clone()),
+        Effect::RequestLoan(ask, _) => Some(ask.clone()),
         _ => None,
     });
     let ask = ask.expect("it asks the other router");
     assert!(site.refusal(id).is_none(), "it waits for the answer");
-    site.tell(Event::Lent(ask, Some(Tokens(300_000))));
+    site.tell(Event::LoanAnswered(ask, Some(Tokens(300_000))));
     site.pass(20);
     assert_eq!(site.runs(id).len(), 1);
 }
@@ -169,7 +169,7 @@
 fn end_running(site: &mut Site, open: &mut Vec<RequestId>) {
     for id in std::mem::take(open) {
         match (site.runs(id).is_empty(), site.refusal(id)) {
-            (false, _) => site.tell(Event::Ended(id, whole(7))),
+            (false, _) => site.tell(Event::RunEnded(id, whole(7))),
             (true, None) => open.push(id),
             (true, Some(_)) => {}
         }
@@ -258,7 +258,7 @@
     site.pass(1500);
     site.hear_peer(500_000);
     let first = borrowed(&site).pop().expect("it asks the other router");
-    site.tell(Event::Lent(first.clone(), None));
+    site.tell(Event::LoanAnswered(first.clone(), None));
     site.effects.clear();
     site.pass(1500);
     assert!(borrowed(&site).is_empty(), "it was not heard of yet");
@@ -272,15 +272,15 @@
         Tokens::ZERO,
         "a lender that never heard of it keeps its own"
     );
-    site.tell(Event::Lent(first.clone(), Some(Tokens(300_000))));
-    site.tell(Event::Lent(first, Some(Tokens(300_000))));
+    site.tell(Event::LoanAnswered(first.clone(), Some(Tokens(300_000))));
+    site.tell(Event::LoanAnswered(first, Some(Tokens(300_000))));
     assert_eq!(budget(&site, "borrowed"), 300_000, "it counts once");
 }
 
 /// Returns the questions for loans.
 fn borrowed(site: &Site) -> Vec<LoanRequest> {
     let asked = site.effects.iter().filter_map(|effect| match effect {
-        Effect::Borrow(ask, _) => Some(ask.clone()),
+        Effect::RequestLoan(ask, _) => Some(ask.clone()),
         _ => None,
     });
     asked.collect()
@@ -292,7 +292,7 @@
 fn a_loan_counts_once() {
     let mut site = Site::start(1_000_000);
     let id = site.ask("stream", 1000, 50);
-    site.tell(Event::Ended(id, whole(50)));
+    site.tell(Event::RunEnded(id, whole(50)));
     site.pass(3000);
     let ask = LoanRequest {
         borrower: Incarnation(99),
@@ -329,7 +329,7 @@
 fn what_may_have_run_is_not_said_not_to_have() {
     let mut site = Site::start(1000);
     let id = site.ask("once", 0, 0);
-    site.tell(Event::Ended(id, broken(false)));
+    site.tell(Event::RunEnded(id, broken(false)));
     let problem = site.refusal(id).expect("it fails");
     assert_eq!(problem.kind.status(), 502);
     assert_eq!(site.runs(id).len(), 1);
@@ -340,7 +340,7 @@
 fn what_did_not_run_goes_elsewhere() {
     let mut site = Site::start(1000);
     let id = site.ask("once", 0, 0);
-    site.tell(Event::Ended(id, RunEnd::NotRun { retry: None }));
+    site.tell(Event::RunEnded(id, RunEnd::NotRun { retry: None }));
     let runs = site.runs(id);
     assert_eq!(runs.len(), 2);
     assert_ne!(runs[0].endpoint, runs[1].endpoint);
@@ -351,9 +351,9 @@
 fn a_stream_goes_on_elsewhere() {
     let mut site = Site::start(10_000);
     let id = site.ask("stream", 100, 50);
-    site.tell(Event::Ended(id, broken(true)));
+    site.tell(Event::RunEnded(id, broken(true)));
     assert_eq!(site.runs(id).len(), 2);
-    site.tell(Event::Ended(id, broken(true)));
+    site.tell(Event::RunEnded(id, broken(true)));
     assert_eq!(site.runs(id).len(), 2);
     let problem = site.refusal(id).expect("it is cut");
     assert_eq!(problem.kind, ProblemKind::EndpointFailed);
@@ -367,9 +367,9 @@
     let mut site = Site::start(1000);
     let id = site.ask("again", 0, 0);
     site.pass(600);
-    let left = |effect: &Effect| matches!(effect, Effect::Leave(of) if *of == id);
+    let left = |effect: &Effect| matches!(effect, Effect::Abandon(of) if *of == id);
     assert_eq!(site.effects.iter().filter(|e| left(e)).count(), 1);
-    site.tell(Event::Ended(id, broken(false)));
+    site.tell(Event::RunEnded(id, broken(false)));
     assert_eq!(site.runs(id).len(), 2);
 }
 
@@ -382,7 +382,7 @@
     let cuts = site
         .effects
         .iter()
-        .filter(|e| matches!(e, Effect::Cut(of, _) if *of == id));
+        .filter(|e| matches!(e, Effect::Abort(of, _) if *of == id));
     assert_eq!(cuts.count(), 1);
     assert_eq!(
         site.refusal(id).map(|p| p.kind),
@@ -407,7 +407,7 @@
             .any(|e| matches!(e, Effect::Exit { .. }))
     };
     assert!(!exits(&site), "a request is in progress");
-    site.tell(Event::Ended(id, whole(10)));
+    site.tell(Event::RunEnded(id, whole(10)));
     site.pass(100);
     assert!(exits(&site));
     assert_eq!(budget(&site, "granted_here"), budget(&site, "spent_here"));
@@ -419,7 +419,7 @@
 fn a_stop_in_a_cut_hands_budget_over() {
     let mut site = Site::start(1_000_000);
     let id = site.ask("stream", 1000, 50);
-    site.tell(Event::Ended(id, whole(50)));
+    site.tell(Event::RunEnded(id, whole(50)));
     site.pass(3000);
     site.log = Log::Away;
     site.pass(2000);
@@ -431,7 +431,7 @@
     let given = site
         .effects
         .iter()
-        .any(|e| matches!(e, Effect::Give(gift, _) if gift.amount > Tokens::ZERO));
+        .any(|e| matches!(e, Effect::TransferBudget(gift, _) if gift.amount > Tokens::ZERO));
     assert!(given);
 }
 
--- a/src/router/tests/heartbeats.rs
+++ b/src/router/tests/heartbeats.rs
@@ -11,7 +11,7 @@
     let mut counts: IndexMap<VmId, u32> = IndexMap::new();
     let mut most = 0;
     for effect in &site.effects {
-        if let Effect::Beat(_, peers) = effect {
+        if let Effect::SendHeartbeat(_, peers) = effect {
             most = most.max(peers.len());
             for peer in peers {
                 *counts.entry(peer.vm.clone()).or_default() += 1;
--- a/src/router/tests/hung_up.rs
+++ b/src/router/tests/hung_up.rs
@@ -15,7 +15,7 @@
     let mut bench = Bench::start(1);
     let ask = bench.call("h1", 1);
     let id = bench.arrive(0, &ask);
-    bench.tell(0, Event::HungUp(id));
+    bench.tell(0, Event::CallerGone(id));
     bench.pass(300);
     assert!(bench.nodes[0].runs(id).is_empty());
     assert!(bench.nodes[0].core.requests.is_empty());
@@ -38,9 +38,9 @@
             }
             let id = bench.dispatched(0, &ask);
             if hung_up_first {
-                bench.tell(0, Event::HungUp(id));
+                bench.tell(0, Event::CallerGone(id));
             }
-            bench.tell(0, Event::Ended(id, RunEnd::Unsent));
+            bench.tell(0, Event::RunEnded(id, RunEnd::Unsent));
             bench.pass(300);
             assert!(!bench.nodes[0].core.requests.contains_key(&id), "{key}");
             assert_eq!(bench.bill(key), None, "{key}");
@@ -66,15 +66,15 @@
         prompt: Tokens(3),
         answer: Tokens(4),
     };
-    let broken = RunEnd::Broken {
+    let broken = RunEnd::Failed {
         usage: Some(usage),
         begun: false,
         died: false,
     };
-    bench.tell(0, Event::Ended(id, broken));
+    bench.tell(0, Event::RunEnded(id, broken));
     assert_eq!(bench.nodes[0].runs(id).len(), 2);
-    bench.tell(0, Event::HungUp(id));
-    bench.tell(0, Event::Ended(id, RunEnd::Unsent));
+    bench.tell(0, Event::CallerGone(id));
+    bench.tell(0, Event::RunEnded(id, RunEnd::Unsent));
     bench.pass(300);
     assert_eq!(bench.bill("h4"), Some(7));
     assert_eq!(bench.spent(), 7);
@@ -86,10 +86,13 @@
     let mut bench = Bench::start(1);
     let ask = bench.call("h5", 1);
     let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::HungUp(id));
+    bench.tell(0, Event::CallerGone(id));
     bench.pass(200);
     let body = Some(b"receipt".to_vec());
-    bench.tell(0, Event::Ended(id, RunEnd::Answered { status: 201, body }));
+    bench.tell(
+        0,
+        Event::RunEnded(id, RunEnd::Answered { status: 201, body }),
+    );
     bench.pass(200);
     let again = bench.call("h5", 2);
     let again = bench.arrive(0, &again);
@@ -102,12 +105,12 @@
     let mut bench = Bench::start(1);
     let ask = bench.chat("h6", 1);
     let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::Started(id));
+    bench.tell(0, Event::AnswerStarted(id));
     let usage = Some(Usage {
         prompt: Tokens(3),
         answer: Tokens(5),
     });
-    bench.tell(0, Event::Ended(id, RunEnd::CallerGone { usage }));
+    bench.tell(0, Event::RunEnded(id, RunEnd::CallerGone { usage }));
     bench.pass(200);
     let bill = bench
         .key_state("h6")
@@ -123,7 +126,7 @@
     let ask = bench.chat("h7", 1);
     let id = bench.dispatched(0, &ask);
     bench.whole(0, id);
-    bench.tell(0, Event::HungUp(id));
+    bench.tell(0, Event::CallerGone(id));
     bench.pass(200);
     assert_eq!(bench.bill("h7"), Some(23));
     assert!(bench.nodes[0].core.requests.is_empty());
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/isolated.rs
@@ -29,7 +29,7 @@
     bench.nodes.remove(0);
     while bench.ledger().is_open(dead) {
         let vm = "router-0".parse().expect("a name");
-        bench.tell(0, Event::Unheard(vm, silence));
+        bench.tell(0, Event::HeartbeatFailed(vm, silence));
         bench.pass(100);
         assert!(bench.now - begun < PARTED * 3, "it is never closed");
     }
@@ -72,7 +72,7 @@
             let mut last = begun;
             while one.now - begun < PARTED * 2 {
                 let vm = "router-1".parse().expect("a name");
-                one.tell(0, Event::Unheard(vm, silence));
+                one.tell(0, Event::HeartbeatFailed(vm, silence));
                 one.pass(500);
                 if one.nodes[0].core.may_run_unclaimed(one.now) {
                     last = one.now;
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -164,7 +164,7 @@
     bench.log = Log::Up;
     for _ in 0..80 {
         let vm = "router-0".parse().expect("a name");
-        bench.tell(0, Event::Unheard(vm, PeerFailure::Refused));
+        bench.tell(0, Event::HeartbeatFailed(vm, PeerFailure::Refused));
         bench.pass(100);
     }
     assert!(!bench.ledger().is_open(dead));
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -66,7 +66,7 @@
 /// Returns the questions for loans, and whom they went to.
 fn asked(site: &Site) -> Vec<(LoanRequest, Peer)> {
     let asked = site.effects.iter().filter_map(|effect| match effect {
-        Effect::Borrow(ask, peer) => Some((ask.clone(), peer.clone())),
+        Effect::RequestLoan(ask, peer) => Some((ask.clone(), peer.clone())),
         _ => None,
     });
     asked.collect()
@@ -98,7 +98,7 @@
         asked: Tokens(number * amount),
         priority,
     };
-    site.tell(Event::LoanAsked(ReplyId(id), ask));
+    site.tell(Event::LoanRequested(ReplyId(id), ask));
 }
 
 /// Returns what a question for a loan was answered.
@@ -117,7 +117,7 @@
     let id = site.ask("stream", 100, 50);
     let (ask, _) = asked(&site).pop().expect("an owner is asked at once");
     assert_eq!(ask.amount, Tokens(150));
-    site.tell(Event::Lent(ask, Some(Tokens(150))));
+    site.tell(Event::LoanAnswered(ask, Some(Tokens(150))));
     assert!(is_run(&site, id));
     assert_eq!(proposals(&site), 0);
 }
@@ -132,7 +132,7 @@
     for _ in 0..3 {
         let (ask, peer) = asked(&site).pop().expect("one is asked");
         addresses.push(peer.address);
-        site.tell(Event::Lent(ask, None));
+        site.tell(Event::LoanAnswered(ask, None));
     }
     addresses.dedup();
     assert_eq!(addresses.len(), 3);
@@ -152,18 +152,18 @@
     let mut site = guest();
     let id = site.ask("stream", 100, 900);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
-    site.tell(Event::Lent(ask, Some(Tokens(1000))));
+    site.tell(Event::LoanAnswered(ask, Some(Tokens(1000))));
     let usage = Usage {
         prompt: Tokens::ZERO,
         answer: Tokens(20),
     };
-    site.tell(Event::Ended(id, RunEnd::Whole { usage }));
+    site.tell(Event::RunEnded(id, RunEnd::Completed { usage }));
     site.pass(15_000);
     let gifts: Vec<&BudgetTransfer> = site
         .effects
         .iter()
         .filter_map(|effect| match effect {
-            Effect::Give(gift, _) => Some(gift),
+            Effect::TransferBudget(gift, _) => Some(gift),
             _ => None,
         })
         .collect();
@@ -245,7 +245,7 @@
     site.pass(took);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
     let amount = ask.amount;
-    site.tell(Event::Lent(ask, Some(amount)));
+    site.tell(Event::LoanAnswered(ask, Some(amount)));
     site.ask("stream", 500, 500);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
     ask.amount.0
@@ -274,7 +274,7 @@
             .extract_if(.., |id| is_run(&site, *id))
             .collect::<Vec<_>>()
         {
-            site.tell(Event::Ended(id, whole(500)));
+            site.tell(Event::RunEnded(id, whole(500)));
         }
         site.pass(20);
         asked_at.resize(asked(&site).len(), turn);
@@ -283,7 +283,7 @@
             let (ask, _) = asked(&site)[answered].clone();
             answered += 1;
             let amount = ask.amount;
-            site.tell(Event::Lent(ask, Some(amount)));
+            site.tell(Event::LoanAnswered(ask, Some(amount)));
         }
     }
     assert!(waited <= 10, "{waited} of 100 wait");
@@ -338,7 +338,7 @@
         purses: vec![word],
         ..site.peer_beat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.tell(Event::HeartbeatReceived(beat));
 }
 
 /// Answers the newest question for a loan in full, and those that follow from that, up to a bound.
@@ -349,6 +349,6 @@
             return;
         };
         let amount = ask.amount;
-        site.tell(Event::Lent(ask, Some(amount)));
+        site.tell(Event::LoanAnswered(ask, Some(amount)));
     }
 }
--- a/src/router/tests/power_lost.rs
+++ b/src/router/tests/power_lost.rs
@@ -45,7 +45,7 @@
         let id = site.ask("stream", DEMAND / 10 - 7, 7);
         site.pass(20);
         if !site.runs(id).is_empty() {
-            site.tell(Event::Ended(id, whole(7)));
+            site.tell(Event::RunEnded(id, whole(7)));
             used += DEMAND / 10;
         }
         site.pass(80);
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -103,7 +103,7 @@
             }
             Step::HungUp(at, any) => {
                 if let Some(id) = self.pick(at, any) {
-                    self.bench.tell(at, Event::HungUp(id));
+                    self.bench.tell(at, Event::CallerGone(id));
                 }
             }
             Step::Ended(at, any, how) => {
@@ -114,7 +114,7 @@
                     if running && matches!(end, RunEnd::NotRun { .. } | RunEnd::Unsent) {
                         *self.missed.entry(id).or_default() += 1;
                     }
-                    self.bench.tell(at, Event::Ended(id, end));
+                    self.bench.tell(at, Event::RunEnded(id, end));
                 }
             }
             Step::Log(how) => {
@@ -138,7 +138,7 @@
                     1 => PeerFailure::Mute,
                     _ => PeerFailure::Unreachable,
                 };
-                bench.tell(at, Event::Unheard(vm, silence));
+                bench.tell(at, Event::HeartbeatFailed(vm, silence));
             }
             Step::TopUp(id, amount) => bench.top_up(&format!("t{}", id % 4), u64::from(amount)),
         }
@@ -160,7 +160,7 @@
         let known = how.is_multiple_of(2).then_some(usage);
         match (how % 7, self.calls.contains_key(&id)) {
             (0, _) => RunEnd::NotRun { retry: None },
-            (1, _) => RunEnd::Broken {
+            (1, _) => RunEnd::Failed {
                 usage: known,
                 begun: false,
                 died: how > 128,
@@ -170,13 +170,13 @@
                 status: 201,
                 body: Some(vec![how]),
             },
-            (3, _) => RunEnd::Broken {
+            (3, _) => RunEnd::Failed {
                 usage: known,
                 begun: true,
                 died: false,
             },
             (4, _) => RunEnd::CallerGone { usage: known },
-            _ => RunEnd::Whole { usage },
+            _ => RunEnd::Completed { usage },
         }
     }
 
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -88,7 +88,7 @@
         let id = bench.arrive(0, &ask);
         bench.pass(200);
         for _ in 0..5 {
-            bench.tell(0, Event::Ended(id, RunEnd::NotRun { retry: None }));
+            bench.tell(0, Event::RunEnded(id, RunEnd::NotRun { retry: None }));
         }
         bench.pass(300);
         assert_eq!(told(&bench, 0, id), (ProblemKind::NoEndpoint, Ran::No));
@@ -103,12 +103,12 @@
     let mut bench = Bench::start(1);
     let ask = bench.call("p6", 1);
     let id = bench.dispatched(0, &ask);
-    let broken = RunEnd::Broken {
+    let broken = RunEnd::Failed {
         usage: None,
         begun: false,
         died: false,
     };
-    bench.tell(0, Event::Ended(id, broken));
+    bench.tell(0, Event::RunEnded(id, broken));
     bench.pass(300);
     assert_eq!(
         told(&bench, 0, id),
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -49,7 +49,7 @@
     let mut bench = Bench::start(2);
     let ask = bench.chat("r1", 1);
     let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::Started(id));
+    bench.tell(0, Event::AnswerStarted(id));
     closed(&mut bench);
     assert!(bench.nodes[0].cut(id));
     assert_eq!(
@@ -127,9 +127,9 @@
                 status: 201,
                 body: None,
             },
-            false => RunEnd::Whole { usage },
+            false => RunEnd::Completed { usage },
         };
-        bench.tell(0, Event::Ended(id, end));
+        bench.tell(0, Event::RunEnded(id, end));
         bench.pass(300);
         assert!(bench.nodes[0].released(id));
         assert_eq!(bench.spent() - before, 5);
@@ -148,7 +148,7 @@
     let ask = bench.call("r7", 1);
     close(&mut bench);
     let id = bench.arrive(0, &ask);
-    bench.tell(0, Event::HungUp(id));
+    bench.tell(0, Event::CallerGone(id));
     let state = &bench.nodes[0].core.requests[&id].state;
     assert!(matches!(state, State::Abandoned), "{state:?}");
     bench.pass(1000);
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -166,7 +166,7 @@
         prompt: Tokens::ZERO,
         answer: Tokens(answer),
     };
-    RunEnd::Whole { usage }
+    RunEnd::Completed { usage }
 }
 
 fn site_tuning(clock: BootClock) -> Tuning {
@@ -270,7 +270,7 @@
 
     fn read(&self) -> GrantEvent {
         match self.log {
-            Log::Away => GrantEvent::Unread,
+            Log::Away => GrantEvent::ReadFailed,
             Log::Up => GrantEvent::Read {
                 rows: self.rows.clone(),
                 end: Offset(self.end),
@@ -298,7 +298,7 @@
     pub(crate) fn ask_as(&mut self, key: &str, route: &str, input: u64, output: u64) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
-        self.tell(Event::Arrived(Box::new(Arrival {
+        self.tell(Event::RequestArrived(Box::new(Arrival {
             id,
             bearer: Secret(key.to_owned()),
             key: None,
@@ -321,7 +321,7 @@
     /// Has so many other routers say that they live; each of their clocks is right.
     pub(crate) fn hear_routers(&mut self, count: usize) {
         for number in 0..count {
-            self.tell(Event::Heard(Heartbeat {
+            self.tell(Event::HeartbeatReceived(Heartbeat {
                 vm: name(&format!("router-{}", number + 1)),
                 router: Incarnation(100 + number as u64),
                 serving: true,
@@ -351,7 +351,7 @@
     /// Has another router say that so much of the team's budget lies idle there.
     pub(crate) fn hear_peer(&mut self, free: u64) {
         let beat = self.peer_beat(free);
-        self.tell(Event::Heard(beat));
+        self.tell(Event::HeartbeatReceived(beat));
     }
 
     /// Returns what another router says of itself: so much of the team's budget lies idle there.
@@ -385,7 +385,9 @@
     /// Returns how a request was refused, or its answer broken off.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
         self.effects.iter().find_map(|effect| match effect {
-            Effect::Refuse(of, problem) | Effect::Cut(of, problem) if *of == id => Some(&**problem),
+            Effect::Refuse(of, problem) | Effect::Abort(of, problem) if *of == id => {
+                Some(&**problem)
+            }
             _ => None,
         })
     }
--- a/src/router/tests/starved.rs
+++ b/src/router/tests/starved.rs
@@ -42,7 +42,7 @@
         let ids = ["key", "other"].map(|key| site.ask_as(key, "stream", 993, 7));
         site.pass(100);
         for id in ids {
-            site.tell(Event::Ended(id, whole(7)));
+            site.tell(Event::RunEnded(id, whole(7)));
         }
     }
     dry.iter().for_each(|team| take_rest(&mut site, team));
@@ -96,7 +96,7 @@
         let id = site.ask_as("other", "stream", 993, 7);
         site.ask("stream", 500, 7);
         site.pass(20);
-        site.tell(Event::Ended(id, whole(7)));
+        site.tell(Event::RunEnded(id, whole(7)));
         site.pass(80);
     }
     let promise = newest(&site, "maps").pace.expect("a promise");
@@ -136,7 +136,7 @@
         }],
         ..site.peer_beat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.tell(Event::HeartbeatReceived(beat));
     site.pass(40);
     site.ask("stream", 900_000, 7);
     site.pass(40);
