--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -256,7 +256,7 @@
     /// Returns when the core must be called though nothing happens.
     fn next_turn(&self, last: Instant) -> Instant {
         let tick = last + TICK;
-        self.core.wake().map_or(tick, |wake| wake.min(tick))
+        self.core.next_wake().map_or(tick, |wake| wake.min(tick))
     }
 
     /// Tells the core of a pause of the whole process.
@@ -275,7 +275,7 @@
     fn show_ledger(&self) {
         self.desk.set_ledger_next(self.core.ledger_next());
         for sender in self.desk.take_snapshots() {
-            let _ = sender.send(self.core.ledger_bytes());
+            let _ = sender.send(self.core.encode_ledger());
         }
     }
 
--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -71,7 +71,7 @@
     }
 
     fn top_up(&mut self, id: ReplyId, name: TopUpId, team: TeamId, amount: Tokens) {
-        if !self.serving() {
+        if !self.is_serving() {
             self.answer(id, 503, json!({"detail": "this router does not serve"}));
             return;
         }
@@ -169,8 +169,8 @@
             "routers": routers,
             "pools": pools,
             "holdings": holdings,
-            "grants": self.funds.dump(now),
-            "table_version": self.table.as_ref().map(|table| table.version),
+            "grants": self.grant_budgets.dump(now),
+            "table_version": self.route_table.as_ref().map(|table| table.version),
             "teams": self.teams()["teams"],
         })
     }
@@ -185,7 +185,7 @@
             since: now,
             closing: false,
         };
-        self.funds.wind_down();
+        self.grant_budgets.wind_down();
         let peers = self.members.roster.peers().to_vec();
         self.effects
             .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -45,7 +45,7 @@
 impl Core {
     /// Handles a caller's request.
     pub(crate) fn handle_arrival(&mut self, now: Instant, arrival: Arrival) {
-        self.retries.request(now);
+        self.retry_budget.request(now);
         let id = arrival.id;
         match self.admit(now, &arrival) {
             Ok(request) => {
@@ -65,7 +65,7 @@
         if let Work::Relay(relay) = &arrival.work {
             return self.admit_relay(now, arrival, relay);
         }
-        if !self.serving() || self.is_stale(now) {
+        if !self.is_serving() || self.is_stale(now) {
             return Err(self.not_serving());
         }
         let Some((account, spec)) = self.config.account_by_key(&arrival.bearer.0) else {
@@ -106,7 +106,7 @@
 
     fn enter_account(&mut self, now: Instant, account: &AccountId) -> Result<(), Refusal> {
         let limits = self.config.account(account).map(|spec| spec.limits.clone());
-        self.accounts
+        self.account_limits
             .entry(account.clone())
             .or_insert_with(|| AccountLimit::new(now, &limits.unwrap_or_default()))
             .try_enter(now)
@@ -228,7 +228,7 @@
                     return;
                 }
                 let key = self.requests[&id].key.clone();
-                self.active.insert(key, id);
+                self.request_by_key.insert(key, id);
                 self.fund(now, id);
             }
             Disposition::Wait => {
@@ -251,7 +251,7 @@
     /// that is certain to be void, and lets a retry wait for the attempt before it.
     pub(crate) fn disposition(&self, id: RequestId) -> Disposition {
         let request = &self.requests[&id];
-        if let Some(other) = self.active.get(&request.key)
+        if let Some(other) = self.request_by_key.get(&request.key)
             && *other != id
         {
             return match self.requests[other].fingerprint == request.fingerprint {
@@ -341,7 +341,7 @@
 
     /// Stops counting one request against an account's limit.
     pub(crate) fn leave_account(&mut self, account: &AccountId) {
-        if let Entry::Occupied(mut limit) = self.accounts.entry(account.clone()) {
+        if let Entry::Occupied(mut limit) = self.account_limits.entry(account.clone()) {
             limit.get_mut().leave();
         }
     }
--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -26,8 +26,8 @@
 impl Core {
     /// Writes a checkpoint if it is this router's turn.
     pub(crate) fn write_checkpoint(&mut self, now: Instant) {
-        let tried = self.checkpointed.is_some_and(|at| now < at + AGAIN);
-        if tried || now < self.first_checkpoint || !self.serving() || self.in_outage(now) {
+        let tried = self.checkpointed_at.is_some_and(|at| now < at + AGAIN);
+        if tried || now < self.checkpoint_not_before || !self.is_serving() || self.in_outage(now) {
             return;
         }
         let schedule = Schedule {
@@ -37,7 +37,7 @@
         if !schedule.is_due(&self.ledger, self.me, self.log_time(now)) {
             return;
         }
-        self.checkpointed = Some(now);
+        self.checkpointed_at = Some(now);
         let parts = split(&self.ledger, PART_SIZE);
         if parts.is_empty() {
             // Unsaid, the log would let go of the last checkpoint, and nobody would know until a fleet restarts.
@@ -62,7 +62,7 @@
     /// Returns the log service's time, as far as it can be told: that of the last record, and what passed since.
     pub(crate) fn log_time(&self, now: Instant) -> u64 {
         let since = self
-            .folded
+            .last_folded_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.ledger.at() + millis(since)
     }
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -93,7 +93,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if let Some(purse) = self.purses.get_mut(&request.team) {
+        if let Some(purse) = self.ledger_budgets.get_mut(&request.team) {
             purse.end_debit(request.reserve);
         }
         match verdict {
@@ -159,8 +159,8 @@
             _ => {
                 // The ledger has the key now: the request waits for the other attempt, or gets its outcome.
                 let key = self.requests[&id].key.clone();
-                if self.active.get(&key) == Some(&id) {
-                    self.active.shift_remove(&key);
+                if self.request_by_key.get(&key) == Some(&id) {
+                    self.request_by_key.shift_remove(&key);
                 }
                 self.proceed(now, id);
             }
--- a/src/router/closing.rs
+++ b/src/router/closing.rs
@@ -44,7 +44,7 @@
     /// Closes incarnations that are silent.
     pub(crate) fn close_dead(&mut self, now: Instant) {
         let log_fresh = now < self.members.log_heard + FRESH;
-        if !self.serving() || self.in_outage(now) || !log_fresh {
+        if !self.is_serving() || self.in_outage(now) || !log_fresh {
             // What was sent off may not have landed; all of it begins again when the log is back.
             self.members.closing.clear();
             return;
--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -63,15 +63,15 @@
 impl Core {
     /// Takes in endpoints' words of how much longer they are cold.
     pub(crate) fn endpoints_cold(&mut self, now: Instant, words: &[(VmId, Duration)]) {
-        self.cold.forget(now);
+        self.cold_endpoints.forget(now);
         let mut changed = false;
         for (vm, left) in words {
-            if self.cold.said(now, vm, *left) {
+            if self.cold_endpoints.said(now, vm, *left) {
                 changed = true;
                 info!(event = "endpoint-cold", endpoint = %vm, left_ms = left.as_millis());
             }
         }
-        if changed || self.cold.any() {
+        if changed || self.cold_endpoints.any() {
             self.share_cold(now);
         }
         if changed {
@@ -86,7 +86,7 @@
         let router = &self.tuning.vm;
         for (pool, rate) in self.pools.values_mut().zip(rates) {
             for vm in pool.addresses.keys() {
-                let until = self.cold.until(now, vm);
+                let until = self.cold_endpoints.until(now, vm);
                 let share = until.map_or(0, |_| cold_share(rate, &routers, router, vm));
                 pool.picker.chooser.cool(vm, until, share);
             }
@@ -95,13 +95,13 @@
 
     /// Returns how long an endpoint of a pool is cold that has just started.
     pub(crate) fn warmup(&self, pool: &PoolId) -> Duration {
-        let pool = self.table.as_ref().and_then(|table| table.pool(pool));
+        let pool = self.route_table.as_ref().and_then(|table| table.pool(pool));
         pool.map_or(Duration::ZERO, |pool| pool.warmup)
     }
 
     /// Returns how many requests a second a cold endpoint of a pool bears.
     pub(crate) fn cold_rate(&self, pool: &PoolId) -> u32 {
-        let pool = self.table.as_ref().and_then(|table| table.pool(pool));
+        let pool = self.route_table.as_ref().and_then(|table| table.pool(pool));
         pool.map_or(0, |pool| pool.cold_rate)
     }
 }
--- a/src/router/configure.rs
+++ b/src/router/configure.rs
@@ -106,7 +106,7 @@
 
     fn config_changed(&mut self, now: Instant) {
         info!(event = "config-in-force", version = %self.config.version());
-        for (account, limit) in &mut self.accounts {
+        for (account, limit) in &mut self.account_limits {
             if let Some(spec) = self.config.account(account) {
                 limit.change(now, &spec.limits);
             }
@@ -124,7 +124,7 @@
         };
         let written = self.config_stream.written;
         let tried = written.is_some_and(|at| now < at + AGAIN);
-        if tried || !self.serving() || self.in_outage(now) {
+        if tried || !self.is_serving() || self.in_outage(now) {
             return;
         }
         let retention = millis(self.tuning.retention);
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -160,67 +160,67 @@
     pub(crate) appender: Appender<Ticket>,
     pub(crate) requests: IndexMap<RequestId, Request>,
     /// The request that has each key here.
-    pub(crate) active: IndexMap<RequestKey, RequestId>,
+    pub(crate) request_by_key: IndexMap<RequestKey, RequestId>,
     /// Requests that wait for another attempt's end.
     pub(crate) contended: Vec<RequestId>,
-    pub(crate) purses: IndexMap<TeamId, LedgerBudget>,
-    pub(crate) policy: HoldingPolicy,
+    pub(crate) ledger_budgets: IndexMap<TeamId, LedgerBudget>,
+    pub(crate) holding_policy: HoldingPolicy,
     /// What was asked for here.
-    pub(crate) demand: IndexMap<TeamId, Demand>,
+    pub(crate) own_demand: IndexMap<TeamId, Demand>,
     /// What the whole fleet claimed.
-    pub(crate) fleet: IndexMap<TeamId, Demand>,
-    pub(crate) accounts: IndexMap<AccountId, AccountLimit>,
+    pub(crate) fleet_demand: IndexMap<TeamId, Demand>,
+    pub(crate) account_limits: IndexMap<AccountId, AccountLimit>,
     pub(crate) pools: IndexMap<PoolId, Pool>,
-    pub(crate) retries: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) members: Members,
     pub(crate) effects: Vec<Effect>,
     pub(crate) outage: Outage,
-    pub(crate) proofs: RefuseLimiter,
+    pub(crate) refuse_limiter: RefuseLimiter,
     /// Until when requests may be ones that lay in a socket while the process was stopped.
     pub(crate) stale_until: Option<Instant>,
     /// When the router started.
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
     /// Since when all of the log is folded, while the router waits to open.
-    pub(crate) caught: Option<Instant>,
+    pub(crate) caught_up_at: Option<Instant>,
     /// When a state of the ledger was last asked for.
-    pub(crate) fetched: Option<Instant>,
+    pub(crate) ledger_fetched_at: Option<Instant>,
     /// When a record was last folded.
-    pub(crate) folded: Option<Instant>,
+    pub(crate) last_folded_at: Option<Instant>,
     /// When holdings were last looked over.
-    pub(crate) kept_house: Option<Instant>,
+    pub(crate) rebalanced_at: Option<Instant>,
     /// Before this a router writes no checkpoint.
-    pub(crate) first_checkpoint: Instant,
+    pub(crate) checkpoint_not_before: Instant,
     /// When a checkpoint was last written.
-    pub(crate) checkpointed: Option<Instant>,
+    pub(crate) checkpointed_at: Option<Instant>,
     pub(crate) config_stream: ConfigStream,
     pub(crate) quarantine: Quarantine,
     pub(crate) orders: Orders,
     /// The configuration, where a platform hands it over whole.
-    pub(crate) table: Option<Arc<RouteTable>>,
+    pub(crate) route_table: Option<Arc<RouteTable>>,
     pub(crate) table_watch: TableWatch,
     /// Failure domains whose endpoints get nothing new.
-    pub(crate) drained: DrainedDomains,
-    pub(crate) cold: ColdEndpoints,
+    pub(crate) drained_domains: DrainedDomains,
+    pub(crate) cold_endpoints: ColdEndpoints,
     /// What may be spent, where budgets are kept by grants.
-    pub(crate) funds: GrantBudgets,
+    pub(crate) grant_budgets: GrantBudgets,
 }
 
 /// What part of the retries that all routers may make together they take: routers that start or end are counted late.
-const RETRY_PART: f64 = 0.8;
+const RETRY_SHARE: f64 = 0.8;
 
 /// How long a router leaves checkpoints to others at its start, once to thrice: in a fleet that starts together all would
 /// find that there is none, and write one at once.
-const FIRST_CHECKPOINT: Duration = Duration::from_secs(10);
+const CHECKPOINT_DELAY: Duration = Duration::from_secs(10);
 
 /// How long after a pause requests count as stale: what lay in the sockets is read within a few turns of the loop, each of
 /// which a machine that is busy after the pause may take hundreds of milliseconds for.
-const STALE: Duration = Duration::from_secs(2);
+const STALE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Bounds the refuse records of a router, so that under overload the proofs cost less than serving would.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefuseLimiter {
-    left: f64,
-    at: Option<Instant>,
+    available: f64,
+    refilled_at: Option<Instant>,
 }
 
 /// Refuse records a second at one router: at 60 bytes each, a tenth of what a batch may carry.
@@ -228,14 +228,17 @@
 
 impl RefuseLimiter {
     /// Takes one proof, if one is left.
-    pub(crate) fn take(&mut self, now: Instant) -> bool {
-        let since = self.at.map_or(Duration::from_secs(1), |at| now - at);
-        self.left = (self.left + since.as_secs_f64() * REFUSES_PER_SEC).min(REFUSES_PER_SEC);
-        self.at = Some(now);
-        if self.left < 1.0 {
+    pub(crate) fn try_acquire(&mut self, now: Instant) -> bool {
+        let since = self
+            .refilled_at
+            .map_or(Duration::from_secs(1), |at| now - at);
+        self.available =
+            (self.available + since.as_secs_f64() * REFUSES_PER_SEC).min(REFUSES_PER_SEC);
+        self.refilled_at = Some(now);
+        if self.available < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
@@ -247,43 +250,43 @@
         let me = Incarnation(rng.next_u64());
         Self {
             appender: Appender::new(me, tuning.pace),
-            policy: HoldingPolicy::new(tuning.lean),
+            holding_policy: HoldingPolicy::new(tuning.lean),
             phase: Phase::CatchingUp,
             me,
             ledger: Ledger::default(),
             config: Config::default(),
             requests: IndexMap::new(),
-            active: IndexMap::new(),
+            request_by_key: IndexMap::new(),
             contended: Vec::new(),
-            purses: IndexMap::new(),
-            demand: IndexMap::new(),
-            fleet: IndexMap::new(),
-            accounts: IndexMap::new(),
+            ledger_budgets: IndexMap::new(),
+            own_demand: IndexMap::new(),
+            fleet_demand: IndexMap::new(),
+            account_limits: IndexMap::new(),
             pools: IndexMap::new(),
-            retries: RetryBudget::new(now),
+            retry_budget: RetryBudget::new(now),
             members: Members::new(now, tuning.vm.clone()),
             effects: Vec::new(),
             outage: Outage::default(),
-            proofs: RefuseLimiter {
-                left: 0.0,
-                at: None,
+            refuse_limiter: RefuseLimiter {
+                available: 0.0,
+                refilled_at: None,
             },
             stale_until: None,
-            first_checkpoint: now + FIRST_CHECKPOINT.mul_f64(rng.random_range(1.0..3.0)),
-            kept_house: None,
-            started: now,
-            caught: None,
-            fetched: None,
-            folded: None,
-            checkpointed: None,
+            checkpoint_not_before: now + CHECKPOINT_DELAY.mul_f64(rng.random_range(1.0..3.0)),
+            rebalanced_at: None,
+            started_at: now,
+            caught_up_at: None,
+            ledger_fetched_at: None,
+            last_folded_at: None,
+            checkpointed_at: None,
             config_stream: ConfigStream::default(),
             quarantine: Quarantine::new(),
             orders: Orders::default(),
-            table: None,
+            route_table: None,
             table_watch: TableWatch::default(),
-            drained: DrainedDomains::default(),
-            cold: ColdEndpoints::default(),
-            funds: GrantBudgets::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
+            drained_domains: DrainedDomains::default(),
+            cold_endpoints: ColdEndpoints::default(),
+            grant_budgets: GrantBudgets::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
             tuning,
             rng,
         }
@@ -331,12 +334,16 @@
             Event::Grants(event) => self.handle_grant_event(now, event),
             Event::PromptNotice(reading) => self.reads(now, &reading),
             Event::TransferReceived(id, gift) => self.accept_gift(id, &gift),
-            Event::TransferAnswered(gift, taken) => self.funds.finish_transfer(&gift, taken),
+            Event::TransferAnswered(gift, taken) => {
+                self.grant_budgets.finish_transfer(&gift, taken)
+            }
             Event::LoanRequested(id, ask) => self.handle_loan_ask(now, id, &ask),
-            Event::LoanAnswered(ask, amount) => self.funds.record_loan_answer(now, &ask, amount),
-            Event::SettingsChanged(tuning) => self.tune(*tuning),
+            Event::LoanAnswered(ask, amount) => {
+                self.grant_budgets.record_loan_answer(now, &ask, amount)
+            }
+            Event::SettingsChanged(tuning) => self.apply_tuning(*tuning),
             Event::Drain => self.drain(now),
-            Event::Paused => self.paused(now),
+            Event::Paused => self.handle_pause(now),
             Event::Tick => self.tick(now),
         }
         self.flush(now);
@@ -351,12 +358,12 @@
     }
 
     /// Returns whether new requests are taken.
-    pub(crate) fn serving(&self) -> bool {
+    pub(crate) fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
     /// Returns when it must be called though nothing happens.
-    pub(crate) fn wake(&self) -> Option<Instant> {
+    pub(crate) fn next_wake(&self) -> Option<Instant> {
         self.appender.wake()
     }
 
@@ -366,7 +373,7 @@
     }
 
     /// Returns the ledger's state, for a peer.
-    pub(crate) fn ledger_bytes(&self) -> Vec<u8> {
+    pub(crate) fn encode_ledger(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.ledger).expect("a ledger can be encoded")
     }
 
@@ -376,7 +383,7 @@
     }
 
     /// Takes over settings that may change while the router runs: times and limits, but not what others know it by.
-    fn tune(&mut self, tuning: Tuning) {
+    fn apply_tuning(&mut self, tuning: Tuning) {
         self.tuning = Tuning {
             vm: self.tuning.vm.clone(),
             domain: self.tuning.domain.clone(),
@@ -384,21 +391,21 @@
             clock: self.tuning.clock,
             ..tuning
         };
-        self.share_retries();
+        self.update_retry_limit();
     }
 
     /// Takes this router's part of the retries that all routers may make together, where the settings bound them.
-    pub(crate) fn share_retries(&mut self) {
+    pub(crate) fn update_retry_limit(&mut self) {
         if let Accounting::Grants(tuning) = self.tuning.accounting {
             let routers = self.members.roster.serving().len() as f64;
-            let floor = tuning.spare * RETRY_PART / routers;
-            self.retries.allow(tuning.retries * RETRY_PART, floor);
+            let floor = tuning.spare * RETRY_SHARE / routers;
+            self.retry_budget.allow(tuning.retries * RETRY_SHARE, floor);
         }
     }
 
     /// Begins to refuse what lay in the sockets while the process was stopped.
-    fn paused(&mut self, now: Instant) {
-        self.stale_until = Some(now + STALE);
+    fn handle_pause(&mut self, now: Instant) {
+        self.stale_until = Some(now + STALE_PERIOD);
         self.members.forgive(now);
     }
 
--- a/src/router/drained.rs
+++ b/src/router/drained.rs
@@ -36,10 +36,10 @@
 impl Core {
     /// Takes over which failure domains are drained, from the store or from a peer, unless it is older than what is known.
     pub(crate) fn take_drained(&mut self, now: Instant, new: &DrainedDomains) {
-        if new.as_of <= self.drained.as_of {
+        if new.as_of <= self.drained_domains.as_of {
             return;
         }
-        let old = std::mem::replace(&mut self.drained, new.clone());
+        let old = std::mem::replace(&mut self.drained_domains, new.clone());
         if old.domains == new.domains {
             return;
         }
@@ -68,7 +68,7 @@
         for (id, pool) in &self.pools {
             let warmup = self.warmup(id);
             for vm in pool.endpoints_in(domain) {
-                self.cold.taken_back(now, vm, warmup);
+                self.cold_endpoints.taken_back(now, vm, warmup);
             }
         }
     }
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -59,7 +59,7 @@
         let team = request.team.clone();
         let reserve = request.reserve;
         self.record_demand(now, &team, reserve);
-        let budget = self.purses.entry(team.clone()).or_default();
+        let budget = self.ledger_budgets.entry(team.clone()).or_default();
         budget.waiting.push_back(id);
         self.fund_team(now, &team);
     }
@@ -67,7 +67,7 @@
     /// Reserves for all waiting requests.
     pub(crate) fn fund_all(&mut self, now: Instant) {
         let teams: Vec<_> = self
-            .purses
+            .ledger_budgets
             .iter()
             .filter(|(_, budget)| !budget.waiting.is_empty())
             .map(|(team, _)| team.clone())
@@ -80,7 +80,7 @@
     /// Reserves for the requests that wait for a team's budget, and draws for the rest.
     fn fund_team(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
-        let Some(budget) = self.purses.get_mut(team) else {
+        let Some(budget) = self.ledger_budgets.get_mut(team) else {
             return;
         };
         let mut funded = Vec::new();
@@ -113,7 +113,7 @@
     /// If all of them were drawn for at once, a draw for more than is left would not be made at all, and a request that
     /// the undrawn budget covers would wait until its deadline behind one that it does not cover.
     fn draw_for_waiting(&mut self, now: Instant, team: &TeamId) {
-        let Some(budget) = self.purses.get(team) else {
+        let Some(budget) = self.ledger_budgets.get(team) else {
             return;
         };
         let free = self.ledger.holding(self.me, team).free;
@@ -155,7 +155,7 @@
         let holding = self.ledger.holding(self.me, team);
         let own = holding.free + holding.claimed;
         let held = self.ledger.team(team).map_or(Tokens::ZERO, |t| t.held());
-        let Some(budget) = self.purses.get_mut(team) else {
+        let Some(budget) = self.ledger_budgets.get_mut(team) else {
             return;
         };
         if budget.drawing || held <= own {
@@ -213,7 +213,7 @@
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
         let demand = self.demand_rate(now, team);
         let reachable = !self.in_outage(now);
-        let budget = self.purses.entry(team.clone()).or_default();
+        let budget = self.ledger_budgets.entry(team.clone()).or_default();
         if budget.drawing {
             return;
         }
@@ -223,11 +223,14 @@
             undrawn,
             routers,
             demand,
-            team: self.fleet.get(team).map_or(0.0, |fleet| fleet.rate(now)),
+            team: self
+                .fleet_demand
+                .get(team)
+                .map_or(0.0, |fleet| fleet.rate(now)),
             wanted,
             reachable,
         };
-        match self.policy.decide(&share) {
+        match self.holding_policy.decide(&share) {
             Action::None => {}
             Action::Draw(want) => {
                 budget.drawing = true;
@@ -245,7 +248,10 @@
         if amount == Tokens::ZERO {
             return;
         }
-        self.purses.entry(team.clone()).or_default().debit(amount);
+        self.ledger_budgets
+            .entry(team.clone())
+            .or_default()
+            .debit(amount);
         let record = Record::Return {
             team: team.clone(),
             amount,
@@ -255,7 +261,7 @@
     }
 
     pub(crate) fn handle_draw_verdict(&mut self, now: Instant, team: &TeamId, verdict: &Verdict) {
-        let budget = self.purses.entry(team.clone()).or_default();
+        let budget = self.ledger_budgets.entry(team.clone()).or_default();
         budget.drawing = false;
         if let Verdict::Granted(amount) = verdict {
             info!(event = "drawn", %team, %amount);
@@ -268,7 +274,7 @@
     /// Near the end of a budget its last tokens are scattered over the routers, in parts too small for a request.
     /// Without this, a router would refuse a team whose tokens other routers hold.
     pub(crate) fn answer_shortage(&mut self, now: Instant, batch: &Batch, verdicts: &[Verdict]) {
-        if batch.router == self.me || !self.serving() {
+        if batch.router == self.me || !self.is_serving() {
             return;
         }
         for (record, verdict) in batch.records.iter().zip(verdicts) {
@@ -283,7 +289,7 @@
     fn release_idle(&mut self, now: Instant, team: &TeamId) {
         let free = self.ledger.holding(self.me, team).free;
         let demand = self.demand_rate(now, team);
-        let Some(budget) = self.purses.get(team) else {
+        let Some(budget) = self.ledger_budgets.get(team) else {
             if free > Tokens::ZERO {
                 self.return_budget(team, free);
             }
@@ -301,7 +307,7 @@
     }
 
     fn record_demand(&mut self, now: Instant, team: &TeamId, amount: Tokens) {
-        self.demand
+        self.own_demand
             .entry(team.clone())
             .or_insert_with(|| Demand::new(now, OWN_WINDOW))
             .add(now, amount);
@@ -311,7 +317,7 @@
     pub(crate) fn record_claims(&mut self, now: Instant, batch: &Batch) {
         for record in &batch.records {
             if let Record::Claim(claim) = record {
-                self.fleet
+                self.fleet_demand
                     .entry(claim.team.clone())
                     .or_insert_with(|| Demand::new(now, FLEET_WINDOW))
                     .add(now, claim.reserved);
@@ -327,32 +333,32 @@
     fn demand_rate(&self, now: Instant, team: &TeamId) -> f64 {
         let rate = |demand: Option<&Demand>| demand.map_or(0.0, |demand| demand.rate(now));
         let routers = self.ledger.routers().filter(|(_, r)| !r.closed).count();
-        let share = rate(self.fleet.get(team)) / routers.max(1) as f64;
-        rate(self.demand.get(team)).max(share)
+        let share = rate(self.fleet_demand.get(team)) / routers.max(1) as f64;
+        rate(self.own_demand.get(team)).max(share)
     }
 
     /// Adjusts holdings to the policy, and refuses requests that waited too long for budget.
     pub(crate) fn rebalance_holdings(&mut self, now: Instant) {
         self.fund_all(now);
         let due = self
-            .kept_house
+            .rebalanced_at
             .is_none_or(|at| now >= at + REBALANCE_INTERVAL);
-        if !self.serving() || !due {
+        if !self.is_serving() || !due {
             return;
         }
-        self.kept_house = Some(now);
-        self.demand
+        self.rebalanced_at = Some(now);
+        self.own_demand
             .retain(|_, demand| demand.rate(now) > MIN_DEMAND_RATE);
-        self.fleet
+        self.fleet_demand
             .retain(|_, demand| demand.rate(now) > MIN_DEMAND_RATE);
-        let asked = self.fleet.keys().cloned();
-        let teams: IndexSet<_> = self.purses.keys().cloned().chain(asked).collect();
+        let asked = self.fleet_demand.keys().cloned();
+        let teams: IndexSet<_> = self.ledger_budgets.keys().cloned().chain(asked).collect();
         for team in teams {
             self.adjust_holding(now, &team, Tokens::ZERO);
         }
         let me = self.me;
         let ledger = &self.ledger;
-        self.purses.retain(|team, budget| {
+        self.ledger_budgets.retain(|team, budget| {
             !budget.is_settled() || ledger.holding(me, team).free > Tokens::ZERO
         });
     }
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -44,7 +44,7 @@
 impl Core {
     /// Applies a configuration, if it is newer than the one in force.
     pub(crate) fn apply_table(&mut self, now: Instant, table: Arc<RouteTable>) {
-        let old = self.table.as_ref().map(|table| table.version);
+        let old = self.route_table.as_ref().map(|table| table.version);
         if old.is_some_and(|old| old >= table.version) {
             return;
         }
@@ -56,22 +56,22 @@
         );
         self.table_watch.took(table.version);
         self.effects.push(Effect::OfferTable(table.clone()));
-        self.funds.update_prepaid(now, &table);
-        self.table = Some(table);
+        self.grant_budgets.update_prepaid(now, &table);
+        self.route_table = Some(table);
         self.rebuild_pools(now);
         self.serve_with_grants();
     }
 
     /// Handles an event of the log that keeps grants.
     pub(crate) fn handle_grant_event(&mut self, now: Instant, event: GrantEvent) {
-        self.funds.handle_event(now, event);
+        self.grant_budgets.handle_event(now, event);
         self.serve_with_grants();
     }
 
     /// Starts serving once the configuration, the endpoints and the grants are known.
     pub(crate) fn serve_with_grants(&mut self) {
-        let ready = self.table.is_some()
-            && self.funds.is_loaded()
+        let ready = self.route_table.is_some()
+            && self.grant_budgets.is_loaded()
             && !self.members.roster.list().vms.is_empty();
         if self.phase == Phase::CatchingUp && ready {
             self.phase = Phase::Serving;
@@ -85,7 +85,7 @@
         let team = request.team.clone();
         let amount = request.reserve;
         let priority = request.relay.as_ref().map_or(0, |terms| terms.priority);
-        match self.funds.reserve(now, &team, priority, amount) {
+        match self.grant_budgets.reserve(now, &team, priority, amount) {
             ReserveOutcome::Done => {
                 request.reservation = Reservation::Funded;
                 self.enqueue(now, id);
@@ -97,7 +97,7 @@
                     priority,
                     since: now,
                 };
-                self.funds.push_waiting(&team, waiting);
+                self.grant_budgets.push_waiting(&team, waiting);
             }
             ReserveOutcome::Kept => self.refuse_unfunded(now, id, Unfunded::Kept),
         }
@@ -106,7 +106,7 @@
     /// Forwards the requests whose budget is reserved now, refuses those that cannot have it, and asks the log and
     /// other routers for more.
     pub(crate) fn step_budgets(&mut self, now: Instant) {
-        for (who, amount) in self.funds.fund_waiting(now) {
+        for (who, amount) in self.grant_budgets.fund_waiting(now) {
             match who {
                 Waiter::Request(id) => {
                     self.requests[&id].reservation = Reservation::Funded;
@@ -115,46 +115,46 @@
                 Waiter::Loan(ids, _) => self.answer_loans(ids, amount),
             }
         }
-        for (who, why) in self.funds.take_unfunded(now) {
+        for (who, why) in self.grant_budgets.take_unfunded(now) {
             match who {
                 Waiter::Request(id) => self.refuse_unfunded(now, id, why),
                 Waiter::Loan(ids, ask) => {
-                    let amount = self.funds.lend_open(now, &ask);
+                    let amount = self.grant_budgets.lend_open(now, &ask);
                     self.answer_loans(ids, amount);
                 }
             }
         }
-        if self.funds.is_refresh_due(now) {
+        if self.grant_budgets.is_refresh_due(now) {
             let words = self.members.budget_words(now);
-            self.funds.update_peer_budgets(now, &words);
+            self.grant_budgets.update_peer_budgets(now, &words);
         }
-        if !self.funds.is_due(now) {
+        if !self.grant_budgets.is_due(now) {
             return;
         }
-        let call = self.funds.step(now);
+        let call = self.grant_budgets.step(now);
         self.effects.extend(call);
-        let loans = self.funds.borrow(now, self.me);
+        let loans = self.grant_budgets.borrow(now, self.me);
         self.effects.extend(loans);
-        let again = self.funds.retry_loans(now);
+        let again = self.grant_budgets.retry_loans(now);
         self.effects.extend(again);
-        let rests = self.funds.return_unused(now, self.me);
+        let rests = self.grant_budgets.return_unused(now, self.me);
         self.effects.extend(rests);
-        let gifts = self.funds.transfer_idle(now, self.me);
+        let gifts = self.grant_budgets.transfer_idle(now, self.me);
         self.effects.extend(gifts);
     }
 
     /// Accepts budget that a stopping router hands over.
     pub(crate) fn accept_gift(&mut self, id: ReplyId, gift: &BudgetTransfer) {
-        let status = if self.serving() { 200 } else { 503 };
-        if self.serving() {
-            self.funds.receive_transfer(gift);
+        let status = if self.is_serving() { 200 } else { 503 };
+        if self.is_serving() {
+            self.grant_budgets.receive_transfer(gift);
         }
         self.effects.push(Effect::Answer(id, status, json!(null)));
     }
 
     /// Handles another router's request for a loan.
     pub(crate) fn handle_loan_ask(&mut self, now: Instant, id: ReplyId, ask: &LoanRequest) {
-        if let Some(amount) = self.funds.lend(now, id, ask) {
+        if let Some(amount) = self.grant_budgets.lend(now, id, ask) {
             self.answer_loans(vec![id], amount);
         }
     }
@@ -174,12 +174,12 @@
         };
         let request = &self.requests[&id];
         let (team, amount) = (&request.team, request.reserve);
-        self.funds.log_refusal(now, team, id, why);
-        let usual = match self.funds.is_in_reach(team, amount) && why != Unfunded::Kept {
+        self.grant_budgets.log_refusal(now, team, id, why);
+        let usual = match self.grant_budgets.is_in_reach(team, amount) && why != Unfunded::Kept {
             true => HELD_RETRY,
             false => LOST_RETRY,
         };
-        let retry = self.funds.outage_left(now).unwrap_or(usual);
+        let retry = self.grant_budgets.outage_left(now).unwrap_or(usual);
         let retry = retry.mul_f64(1.0 + self.rng.random_range(0.0..RETRY_SPREAD));
         let problem = match why {
             Unfunded::Spent => {
@@ -219,7 +219,7 @@
                 )
             })
             .collect();
-        if self.serving() {
+        if self.is_serving() {
             let own = (self.tuning.domain.clone(), self.tuning.address.clone());
             addresses.push((members.roster.capacity(&self.tuning.vm), own));
         }
@@ -250,8 +250,8 @@
                 since,
                 closing: true,
             };
-            self.funds.release_idle();
-        } else if self.requests.is_empty() && self.funds.has_released_all() {
+            self.grant_budgets.release_idle();
+        } else if self.requests.is_empty() && self.grant_budgets.has_released_all() {
             self.effects.push(Effect::Exit { cut: false });
         }
     }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -263,7 +263,7 @@
         }
         self.take_routers();
         self.rebuild_pools(now);
-        self.share_retries();
+        self.update_retry_limit();
         if let Accounting::Grants(_) = self.tuning.accounting {
             self.serve_with_grants();
         }
@@ -272,7 +272,7 @@
     /// Takes over who keeps budgets, from the routers of the VM list.
     fn take_routers(&mut self) {
         let roster = &self.members.roster;
-        self.funds
+        self.grant_budgets
             .take_routers(&self.tuning.vm, roster.candidates(), &roster.peers());
     }
 
@@ -280,13 +280,13 @@
     pub(crate) fn heard(&mut self, now: Instant, beat: Heartbeat) {
         self.members.signs.insert(beat.router, now);
         self.members.unheard.swap_remove(&beat.vm);
-        self.funds.handle_heartbeat(now, &beat);
+        self.grant_budgets.handle_heartbeat(now, &beat);
         self.relay_config(now, &beat);
         self.hear_table(now, &beat);
         self.take_drained(now, &beat.drained);
         let before = self.members.heard.insert(beat.vm.clone(), (now, beat));
         if before.is_none() {
-            self.funds.request_refresh();
+            self.grant_budgets.request_refresh();
         }
     }
 
@@ -313,14 +313,14 @@
         Heartbeat {
             vm: self.tuning.vm.clone(),
             router: self.me,
-            serving: self.serving(),
+            serving: self.is_serving(),
             load: self.load(),
             config: self.config.next(),
             table: self.table_version(),
-            drained: self.drained.clone(),
+            drained: self.drained_domains.clone(),
             clock: self.tuning.clock.at(now).wall,
             purses: match self.tuning.accounting {
-                Accounting::Grants(_) => self.funds.budget_report(now),
+                Accounting::Grants(_) => self.grant_budgets.budget_report(now),
                 Accounting::Ledger => Vec::new(),
             },
         }
@@ -355,7 +355,7 @@
             return;
         }
         let quiet = now >= self.members.shown + KEEP_ALIVE;
-        if self.serving() && quiet && self.members.any_unheard(now) {
+        if self.is_serving() && quiet && self.members.any_unheard(now) {
             self.members.shown = now;
             self.appender.keep_alive();
         }
@@ -376,7 +376,7 @@
             .roster
             .entry(&self.tuning.vm)
             .is_some_and(|entry| entry.state == VmState::Leaving);
-        if self.serving() && !leaving {
+        if self.is_serving() && !leaving {
             peers.push(decide::Peer {
                 vm: self.tuning.vm.clone(),
                 domain: self.tuning.domain.clone(),
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -43,7 +43,7 @@
     /// Leads pools whose turn is this router's, and orders what their endpoints lack.
     pub(crate) fn give_orders(&mut self, now: Instant) {
         let due = self.orders.looked.is_none_or(|at| now >= at + EVERY);
-        if !due || !self.serving() || self.in_outage(now) {
+        if !due || !self.is_serving() || self.in_outage(now) {
             return;
         }
         self.orders.looked = Some(now);
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -168,9 +168,9 @@
             .config
             .pools()
             .map(|(id, spec)| (id, spec.clone()))
-            .chain(self.table.iter().flat_map(|table| table_pools(table)))
+            .chain(self.route_table.iter().flat_map(|table| table_pools(table)))
             .collect();
-        let fixed = self.table.is_some();
+        let fixed = self.route_table.is_some();
         let routers = self.members.roster.serving();
         self.pools
             .retain(|id, _| specs.iter().any(|(kept, _)| kept == id));
@@ -181,7 +181,7 @@
                 Pool::new(&tuning.vm, tuning.queue, ChaCha8Rng::seed_from_u64(seed))
             });
             let vms = &self.members.roster.list().vms;
-            pool.refresh(now, &spec, vms, fixed, &self.drained);
+            pool.refresh(now, &spec, vms, fixed, &self.drained_domains);
             pool.picker.chooser.share(routers.len());
         }
         self.share_cold(now);
--- a/src/router/refuse.rs
+++ b/src/router/refuse.rs
@@ -113,7 +113,7 @@
             };
         }
         let other_active = self
-            .active
+            .request_by_key
             .get(&request.key)
             .is_some_and(|other| *other != id);
         // A caller that does not count its attempts may have sent one that no router has read yet, and that will look
@@ -153,7 +153,7 @@
         if unlogged_claim {
             return Proof::None;
         }
-        match !self.in_outage(now) && self.serving() && self.proofs.take(now) {
+        match !self.in_outage(now) && self.is_serving() && self.refuse_limiter.try_acquire(now) {
             true => Proof::Record,
             false => Proof::None,
         }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -49,7 +49,7 @@
         relay: &Relay,
     ) -> Result<Request, Box<Problem>> {
         let Some(table) = self
-            .table
+            .route_table
             .clone()
             .filter(|_| self.phase != Phase::CatchingUp)
         else {
@@ -204,7 +204,7 @@
         let silent = self.requests.iter().filter(|(_, r)| r.may_leave(now));
         let silent: Vec<_> = silent.map(|(id, _)| *id).collect();
         for id in silent {
-            if !self.retries.has_retry(now) {
+            if !self.retry_budget.has_retry(now) {
                 return;
             }
             if let Some(terms) = self.requests[&id].relay.as_mut() {
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -133,7 +133,10 @@
             amount,
             outcome,
         };
-        self.purses.entry(team.clone()).or_default().credit(credit);
+        self.ledger_budgets
+            .entry(team.clone())
+            .or_default()
+            .credit(credit);
         let ticket = Ticket::Bill {
             request: id,
             team,
@@ -193,7 +196,7 @@
     /// keep the rest down.
     pub(crate) fn try_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
         let tries = self.requests[&id].failed_endpoints.len();
-        if tries >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
+        if tries >= MAX_RUNS || self.is_poison(id) || !self.retry_budget.try_retry(now) {
             return false;
         }
         let Some(endpoint) = self.pick_endpoint(now, id) else {
@@ -320,7 +323,7 @@
             State::Queued => self.cancel_queued(now, id),
             State::Funding { .. } if request.relay.is_some() => {
                 let team = request.team.clone();
-                self.funds.remove_waiting(&team, id);
+                self.grant_budgets.remove_waiting(&team, id);
             }
             State::Claiming { .. } => self.free_endpoint(now, id),
             _ => {}
@@ -351,15 +354,15 @@
             if request.reservation == Reservation::Funded {
                 let (team, reserved) = (&request.team, request.reserve);
                 info!(event = "settled", request = %id, %team, %reserved, used = %terms.used);
-                self.funds.settle(team, reserved, terms.used);
+                self.grant_budgets.settle(team, reserved, terms.used);
             }
         } else if request.reservation == Reservation::Funded
-            && let Some(purse) = self.purses.get_mut(&request.team)
+            && let Some(purse) = self.ledger_budgets.get_mut(&request.team)
         {
             purse.end_debit(request.reserve);
         }
-        if self.active.get(&request.key) == Some(&id) {
-            self.active.swap_remove(&request.key);
+        if self.request_by_key.get(&request.key) == Some(&id) {
+            self.request_by_key.swap_remove(&request.key);
         }
         if request.entered {
             self.leave_account(&request.key.account);
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -55,7 +55,7 @@
 
     fn fold_batch(&mut self, now: Instant, entry: &Entry, batch: &Batch) {
         let verdicts = self.ledger.apply(entry.offset, entry.at, batch);
-        self.folded = Some(now);
+        self.last_folded_at = Some(now);
         self.members.appended(now, batch.router);
         self.learn_crashes(now, batch, &verdicts);
         self.record_claims(now, batch);
@@ -86,14 +86,14 @@
                 team,
                 credit,
             } => {
-                if let Some(purse) = self.purses.get_mut(&team) {
+                if let Some(purse) = self.ledger_budgets.get_mut(&team) {
                     purse.end_credit(credit);
                 }
                 self.bill_verdict(now, request, &verdict);
             }
             Ticket::Draw(team) => self.handle_draw_verdict(now, &team, &verdict),
             Ticket::Return(team, amount) => {
-                if let Some(purse) = self.purses.get_mut(&team) {
+                if let Some(purse) = self.ledger_budgets.get_mut(&team) {
                     purse.end_debit(amount);
                 }
             }
@@ -118,7 +118,7 @@
 
     /// Asks peers for the ledger when the log gives none, as in an outage.
     pub(crate) fn catch_up(&mut self, now: Instant) {
-        if self.phase == Phase::CatchingUp && now >= self.started + FETCH {
+        if self.phase == Phase::CatchingUp && now >= self.started_at + FETCH {
             self.fetch_ledger(now);
         }
         self.open_in_turn(now);
@@ -126,10 +126,10 @@
 
     /// Asks peers for the ledger, now and then.
     pub(crate) fn fetch_ledger(&mut self, now: Instant) {
-        if self.fetched.is_some_and(|at| now < at + FETCH) {
+        if self.ledger_fetched_at.is_some_and(|at| now < at + FETCH) {
             return;
         }
-        self.fetched = Some(now);
+        self.ledger_fetched_at = Some(now);
         let peers = self.members.roster.peers().to_vec();
         self.effects.push(Effect::Fetch(peers));
     }
@@ -140,7 +140,7 @@
             return;
         }
         self.members.forgive(now);
-        self.caught = Some(now);
+        self.caught_up_at = Some(now);
         self.open_in_turn(now);
     }
 
@@ -150,7 +150,7 @@
     /// later than that, they would be void, and answers that callers have whole would stay unbilled. The peers bring
     /// them and close it as soon as they hear this router.
     pub(crate) fn open_in_turn(&mut self, now: Instant) {
-        let Some(caught) = self.caught else {
+        let Some(caught) = self.caught_up_at else {
             return;
         };
         let mut routers = self.ledger.routers();
@@ -158,7 +158,7 @@
         drop(routers);
         let waits = earlier && !self.closers().is_empty() && now < caught + EARLIER;
         if !waits {
-            self.caught = None;
+            self.caught_up_at = None;
             self.open();
         }
     }
@@ -194,7 +194,7 @@
         warn!(event = "closed", %old, new = %self.me);
         let fresh = Appender::new(self.me, self.tuning.pace);
         let abandoned = std::mem::replace(&mut self.appender, fresh);
-        self.purses.clear();
+        self.ledger_budgets.clear();
         self.forget_kept();
         let draining = matches!(self.phase, Phase::Draining { .. });
         if draining {
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -114,7 +114,7 @@
 impl Core {
     /// Returns the version of the configuration in force, 0 where there is none yet.
     pub(crate) fn table_version(&self) -> TableVersion {
-        self.table
+        self.route_table
             .as_ref()
             .map_or_else(TableVersion::default, |table| table.version)
     }
@@ -122,7 +122,7 @@
     /// Takes note that the store, which has just answered, had no newer configuration at a moment.
     pub(crate) fn table_confirmed(&mut self, now: Instant, at: Instant) {
         self.table_watch.confirm(at);
-        self.funds.store_answered(now);
+        self.grant_budgets.store_answered(now);
     }
 
     /// Takes note of a peer's configuration.
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -172,7 +172,7 @@
         }
         bench.pass(200);
         for node in &bench.nodes {
-            assert!(node.core.serving());
+            assert!(node.core.is_serving());
         }
         bench
     }
--- a/src/router/tests/drained_domains.rs
+++ b/src/router/tests/drained_domains.rs
@@ -168,7 +168,7 @@
             drain(&mut site, u64::from(as_of), domains);
             newest = newest.max((as_of, drains));
         }
-        site.core.drained.domains.contains(&domain(0)) == newest.1
+        site.core.drained_domains.domains.contains(&domain(0)) == newest.1
     }
     quickcheck::QuickCheck::new()
         .tests(50)
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -32,7 +32,7 @@
 
 /// Returns what the router says of its team's budget.
 fn budget(site: &Site, field: &str) -> u64 {
-    let dump = site.core.funds.dump(site.now);
+    let dump = site.core.grant_budgets.dump(site.now);
     dump["teams"][0][field].as_u64().expect("a number")
 }
 
@@ -303,7 +303,7 @@
         priority: 0,
     };
     let lend = |site: &mut Site| {
-        let lent = site.core.funds.lend(site.now, ReplyId(1), &ask);
+        let lent = site.core.grant_budgets.lend(site.now, ReplyId(1), &ask);
         lent.expect("it is answered at once")
     };
     let first = lend(&mut site);
@@ -316,10 +316,10 @@
         team: ask.team.clone(),
         amount: Tokens(500),
     };
-    let before = site.core.funds.budget_report(site.now)[0].free;
-    site.core.funds.receive_transfer(&gift);
-    site.core.funds.receive_transfer(&gift);
-    let after = site.core.funds.budget_report(site.now)[0].free;
+    let before = site.core.grant_budgets.budget_report(site.now)[0].free;
+    site.core.grant_budgets.receive_transfer(&gift);
+    site.core.grant_budgets.receive_transfer(&gift);
+    let after = site.core.grant_budgets.budget_report(site.now)[0].free;
     assert_eq!(after - before, Tokens(500));
 }
 
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/isolated.rs
@@ -102,7 +102,7 @@
     bench.linked = true;
     bench.pass(1000);
     assert!(bench.ledger().is_open(other));
-    assert!(bench.nodes[1].core.serving());
+    assert!(bench.nodes[1].core.is_serving());
 }
 
 /// The process is stopped for half a minute, as VMs are when they are moved. What lay in its sockets may have been asked
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -181,7 +181,7 @@
     site.pass(100);
     assert_eq!(lent(&site, 1), Some(5000));
     assert_eq!(lent(&site, 2), Some(5000));
-    let dump = site.core.funds.dump(site.now);
+    let dump = site.core.grant_budgets.dump(site.now);
     assert_eq!(dump["teams"][0]["lent"], 5000, "{dump}");
 }
 
@@ -320,7 +320,7 @@
     let teams: Vec<_> = (0..40).map(|n| format!("team-{n}")).collect();
     let payers = teams.iter().map(|team| payer(team, team, 1_000_000));
     site.tell(Event::Table(table_of(2, payers.collect())));
-    let ownership = &site.core.funds.ownership;
+    let ownership = &site.core.grant_budgets.ownership;
     let own = |name: &String| ownership.owns_for_all(&name.parse().expect("a name"));
     let (mine, others): (Vec<_>, Vec<_>) = teams.into_iter().partition(own);
     [mine, others].map(|teams| teams.first().expect("a team").clone())
--- a/src/router/tests/power_lost.rs
+++ b/src/router/tests/power_lost.rs
@@ -63,7 +63,7 @@
 
 /// Returns what the new process takes for used by the one before it.
 fn thought_used(site: &Site) -> u64 {
-    let dump = site.core.funds.dump(site.now);
+    let dump = site.core.grant_budgets.dump(site.now);
     let field = &dump["teams"][0]["granted_elsewhere"];
     field.as_u64().expect("a number")
 }
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -215,7 +215,7 @@
     fn check_purses(&self, ledger: &Ledger) -> Result<(), String> {
         for node in &self.bench.nodes {
             let core = &node.core;
-            for (team, purse) in &core.purses {
+            for (team, purse) in &core.ledger_budgets {
                 let free = ledger.holding(core.me, team).free;
                 let credit = core.appender.waiting() > 0;
                 if !credit && purse.available(free) > free {
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -39,7 +39,7 @@
     close(bench);
     bench.pass(500);
     assert_ne!(bench.nodes[0].core.me, old);
-    assert!(bench.nodes[0].core.serving(), "it begins anew");
+    assert!(bench.nodes[0].core.is_serving(), "it begins anew");
 }
 
 /// A stream runs when its router is closed by error. What it used can't be billed any more, so its caller must see that
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -224,7 +224,7 @@
     /// starts on it.
     pub(crate) fn lose_power(&mut self, down: Duration) {
         let list = self.core.members.roster.list().clone();
-        let table = self.core.table.clone().expect("a table");
+        let table = self.core.route_table.clone().expect("a table");
         self.now += down;
         let started = self.now;
         let clock = boot_clock(2, self.wall(), started);
