--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -56,7 +56,7 @@
     fn answer_address(&mut self, now: Instant, id: ReplyId) {
         match self.advice(now) {
             Some(advice) => {
-                let keep = advice.keep.min(self.tuning.keep);
+                let keep = advice.keep.min(self.tuning.address_ttl);
                 let keep = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
                 let body = json!({
                     "address": advice.address,
@@ -207,7 +207,7 @@
         let Phase::Draining { since, closing } = self.phase else {
             return;
         };
-        let late = now >= since + self.tuning.drain;
+        let late = now >= since + self.tuning.drain_timeout;
         if late {
             self.log_cut();
             self.effects.push(Effect::Exit { cut: true });
--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -184,8 +184,8 @@
         let priority = arrival.priority.unwrap_or(0).max(route.priority).min(9);
         let patience = arrival
             .patience
-            .unwrap_or(self.tuning.patience)
-            .min(self.tuning.patience);
+            .unwrap_or(self.tuning.default_deadline)
+            .min(self.tuning.default_deadline);
         Ok(Request {
             key: RequestKey {
                 account,
--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -31,7 +31,7 @@
             return;
         }
         let schedule = Schedule {
-            retention: millis(self.tuning.retention),
+            retention: millis(self.tuning.log_retention),
             records: BATCHES,
         };
         if !schedule.is_due(&self.ledger, self.me, self.log_time(now)) {
--- a/src/router/configure.rs
+++ b/src/router/configure.rs
@@ -127,7 +127,7 @@
         if tried || !self.is_serving() || self.in_outage(now) {
             return;
         }
-        let retention = millis(self.tuning.retention);
+        let retention = millis(self.tuning.log_retention);
         let turn = u64::from(self.rank(Incarnation(self.config.next().0)));
         let due = since + retention / AGE + turn * (retention / TURN);
         if self.log_time(now) < due {
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -63,27 +63,27 @@
     /// How records are gathered into appends.
     pub(crate) pace: Pace,
     /// How long a batch may go without its verdict before the log counts as down.
-    pub(crate) outage: Duration,
+    pub(crate) outage_after: Duration,
     /// When the end of an answer goes out while the log is down.
-    pub(crate) marker: EndMarker,
+    pub(crate) end_marker: EndMarker,
     /// How often peers hear from it.
-    pub(crate) heartbeat: Duration,
+    pub(crate) heartbeat_interval: Duration,
     /// How long a router that the VM list no longer shows may be silent before it is closed.
-    pub(crate) silence: Duration,
+    pub(crate) silence_timeout: Duration,
     /// How long a caller waits where it does not say.
-    pub(crate) patience: Duration,
+    pub(crate) default_deadline: Duration,
     /// How many requests may wait for each pool's endpoints.
-    pub(crate) queue: usize,
+    pub(crate) queue_limit: usize,
     /// How long the log keeps records.
-    pub(crate) retention: Duration,
+    pub(crate) log_retention: Duration,
     /// How long a request may wait for an endpoint.
-    pub(crate) wait: Duration,
+    pub(crate) queue_timeout: Duration,
     /// How long a caller may keep an advised address.
-    pub(crate) keep: Duration,
+    pub(crate) address_ttl: Duration,
     /// How long a router that the VM list shows may be out of reach before it is closed.
-    pub(crate) parted: Duration,
+    pub(crate) partition_timeout: Duration,
     /// How long a planned stop waits for the requests in progress.
-    pub(crate) drain: Duration,
+    pub(crate) drain_timeout: Duration,
     /// How budgets are kept.
     pub(crate) accounting: Accounting,
     /// The VM's clock, by which moments outlast the process.
@@ -103,13 +103,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GrantTuning {
     /// How long the platform's word that there is no newer configuration holds: how late a change may be in force.
-    pub(crate) confirm: Duration,
+    pub(crate) config_max_age: Duration,
     /// How long a planned stop goes on serving though nothing is in progress: callers keep addresses that long.
-    pub(crate) linger: Duration,
+    pub(crate) min_drain: Duration,
     /// Runs beyond the first that all routers together may make for each request.
-    pub(crate) retries: f64,
+    pub(crate) retry_ratio: f64,
     /// Runs beyond that which all routers together may make a second.
-    pub(crate) spare: f64,
+    pub(crate) retries_per_sec: f64,
 }
 
 /// What a router does with new requests.
@@ -354,7 +354,7 @@
     pub(crate) fn in_outage(&self, now: Instant) -> bool {
         self.appender
             .stalled_since()
-            .is_some_and(|since| now >= since + self.tuning.outage)
+            .is_some_and(|since| now >= since + self.tuning.outage_after)
     }
 
     /// Returns whether new requests are taken.
@@ -398,8 +398,9 @@
     pub(crate) fn update_retry_limit(&mut self) {
         if let Accounting::Grants(tuning) = self.tuning.accounting {
             let routers = self.members.roster.serving().len() as f64;
-            let floor = tuning.spare * RETRY_SHARE / routers;
-            self.retry_budget.allow(tuning.retries * RETRY_SHARE, floor);
+            let floor = tuning.retries_per_sec * RETRY_SHARE / routers;
+            self.retry_budget
+                .allow(tuning.retry_ratio * RETRY_SHARE, floor);
         }
     }
 
@@ -441,7 +442,7 @@
         self.beat(now);
         self.fetch_table(now);
         self.tick_pools(now);
-        self.continue_drain(now, tuning.linger);
+        self.continue_drain(now, tuning.min_drain);
     }
 
     /// Does what time asks for where budgets are kept by the ledger.
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -234,7 +234,7 @@
         let Phase::Draining { since, closing } = self.phase else {
             return;
         };
-        if now >= since + self.tuning.drain {
+        if now >= since + self.tuning.drain_timeout {
             let cut = !self.requests.is_empty();
             if cut {
                 warn!(event = "drain-limit", requests = self.requests.len());
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -30,12 +30,12 @@
 impl Core {
     /// Returns how long a silent router is left alone.
     pub(crate) fn patience_with(&self, now: Instant, vm: &VmId) -> Duration {
-        let silence = self.tuning.silence;
+        let silence = self.tuning.silence_timeout;
         let seen = self.members.silence(now, vm);
         match (seen, self.members.is_listed(vm)) {
             (Some(PeerFailure::Refused), _) => silence / REFUSED_PART,
             (_, false) => silence,
-            (Some(PeerFailure::Unreachable), true) => self.tuning.parted.max(silence),
+            (Some(PeerFailure::Unreachable), true) => self.tuning.partition_timeout.max(silence),
             (_, true) => self.patience_with_mute(),
         }
     }
@@ -46,8 +46,11 @@
     /// swallow what it says, and then it serves its callers. Each user has one of these at heart.
     fn patience_with_mute(&self) -> Duration {
         match self.tuning.lean {
-            Lean::Strict => self.tuning.silence * MUTE_FACTOR,
-            Lean::Available => self.tuning.parted.max(self.tuning.silence),
+            Lean::Strict => self.tuning.silence_timeout * MUTE_FACTOR,
+            Lean::Available => self
+                .tuning
+                .partition_timeout
+                .max(self.tuning.silence_timeout),
         }
     }
 
@@ -73,7 +76,7 @@
         };
         let time = match () {
             () if silent.is_empty() => return None,
-            () if silent.iter().all(parted) => self.tuning.parted,
+            () if silent.iter().all(parted) => self.tuning.partition_timeout,
             () => self.patience_with_mute(),
         };
         Some(time * MARGIN / 4)
@@ -87,7 +90,7 @@
         let peers = self.members.roster.peers();
         let mut peers = peers.iter();
         let one = peers.any(|p| self.may_keep(&p.vm) && self.members.is_heard(now, &p.vm));
-        let one = one || self.tuning.marker == EndMarker::Hold;
+        let one = one || self.tuning.end_marker == EndMarker::Hold;
         match self.tuning.lean {
             Lean::Available => one,
             Lean::Strict => {
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -328,7 +328,7 @@
 
     /// Returns how full this router is, in thousandths: what runs and waits against what may.
     fn load(&self) -> u32 {
-        let most = self.tuning.queue.max(1);
+        let most = self.tuning.queue_limit.max(1);
         let part = self.requests.len() * 1000 / most;
         u32::try_from(part.min(1000)).unwrap_or(1000)
     }
@@ -338,12 +338,12 @@
         let due = self
             .members
             .beaten
-            .is_none_or(|at| now >= at + self.tuning.heartbeat);
+            .is_none_or(|at| now >= at + self.tuning.heartbeat_interval);
         if !due {
             return;
         }
         let peers = match self.tuning.accounting {
-            Accounting::Grants(_) => self.members.next_told(self.tuning.heartbeat),
+            Accounting::Grants(_) => self.members.next_told(self.tuning.heartbeat_interval),
             // A router that is not heard for seconds may be closed there.
             Accounting::Ledger => self.members.roster.peers().to_vec(),
         };
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -143,7 +143,7 @@
         }
         let mut kept = self.outage.kept.iter();
         let apart = kept.any(|(vm, extent)| *extent >= covered && self.may_keep(vm));
-        if apart && self.tuning.marker == EndMarker::Peers {
+        if apart && self.tuning.end_marker == EndMarker::Peers {
             billed.into_iter().for_each(|id| self.bill_kept(id));
         }
     }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -178,7 +178,11 @@
             let seed = self.rng.next_u64();
             let tuning = &self.tuning;
             let pool = self.pools.entry(id).or_insert_with(|| {
-                Pool::new(&tuning.vm, tuning.queue, ChaCha8Rng::seed_from_u64(seed))
+                Pool::new(
+                    &tuning.vm,
+                    tuning.queue_limit,
+                    ChaCha8Rng::seed_from_u64(seed),
+                )
             });
             let vms = &self.members.roster.list().vms;
             pool.refresh(now, &spec, vms, fixed, &self.drained_domains);
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -26,7 +26,7 @@
             priority: request.priority,
             weight,
             cost: request.reserve,
-            deadline: request.deadline.min(now + self.tuning.wait),
+            deadline: request.deadline.min(now + self.tuning.queue_timeout),
         };
         let name = request.pool.clone();
         if self.is_drained(&name) {
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -71,7 +71,7 @@
         let stride = table.pool(&pool).map_or(1, |pool| pool.stride);
         let wait = arrival
             .patience
-            .unwrap_or(self.tuning.patience)
+            .unwrap_or(self.tuning.default_deadline)
             .min(route.timeout);
         if !self.takes_until(now, now + wait) {
             return Err(self.not_serving());
@@ -128,7 +128,7 @@
         match (self.phase, self.tuning.accounting) {
             (Phase::Serving, _) => true,
             (Phase::Draining { since, .. }, Accounting::Grants(tuning)) => {
-                now < since + tuning.linger || deadline < since + self.tuning.drain
+                now < since + tuning.min_drain || deadline < since + self.tuning.drain_timeout
             }
             _ => false,
         }
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -153,7 +153,9 @@
     /// Returns whether a newer configuration than that in force here may hold elsewhere.
     pub(crate) fn may_be_behind(&self, now: Instant) -> bool {
         match self.tuning.accounting {
-            Accounting::Grants(tuning) => self.table_watch.may_be_behind(now, tuning.confirm),
+            Accounting::Grants(tuning) => {
+                self.table_watch.may_be_behind(now, tuning.config_max_age)
+            }
             Accounting::Ledger => false,
         }
     }
--- a/src/router/tests/drained.rs
+++ b/src/router/tests/drained.rs
@@ -55,7 +55,7 @@
 #[test]
 fn the_limit_ends_it_and_says_that_something_was_cut() {
     let mut bench = Bench::tuned(vec![crate::router::Tuning {
-        drain: Duration::from_millis(500),
+        drain_timeout: Duration::from_millis(500),
         ..tuning(0)
     }]);
     let running = bench.chat("d4", 1);
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/isolated.rs
@@ -15,7 +15,7 @@
 fn bench(lean: Lean) -> Bench {
     let tune = |at| Tuning {
         lean,
-        parted: PARTED,
+        partition_timeout: PARTED,
         ..tuning(at)
     };
     Bench::tuned(vec![tune(0), tune(1)])
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -51,7 +51,7 @@
 #[test]
 fn with_hold_the_end_waits_for_the_log() {
     let mut bench = in_outage(|tuning| Tuning {
-        marker: EndMarker::Hold,
+        end_marker: EndMarker::Hold,
         ..tuning
     });
     let ask = bench.chat("o2", 1);
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -171,12 +171,12 @@
 
 fn site_tuning(clock: BootClock) -> Tuning {
     Tuning {
-        drain: Duration::from_millis(7700),
+        drain_timeout: Duration::from_millis(7700),
         accounting: Accounting::Grants(GrantTuning {
-            confirm: CONFIRM,
-            linger: LINGER,
-            retries: 0.2,
-            spare: 5.0,
+            config_max_age: CONFIRM,
+            min_drain: LINGER,
+            retry_ratio: 0.2,
+            retries_per_sec: 5.0,
         }),
         clock,
         ..tuning(0)
