--- a/src/platform/start.rs
+++ b/src/platform/start.rs
@@ -47,11 +47,11 @@
 use crate::platform::store::Append;
 use crate::platform::store::Store;
 use crate::router::Accounting;
-use crate::router::CPU;
+use crate::router::CPU_LABEL;
 use crate::router::Core;
 use crate::router::Event;
 use crate::router::GrantTuning;
-use crate::router::LINK;
+use crate::router::LINK_LABEL;
 use crate::router::Pace;
 use crate::router::Tuning;
 use crate::settings::EndMarker;
@@ -277,8 +277,11 @@
         let mut labels = Labels::default();
         labels.set("role", "router");
         labels.set("peer", &settings.peer_listen.to_string());
-        labels.set(CPU, &(settings.cpu_share * 1000.0).round().to_string());
-        labels.set(LINK, &settings.link_mbps.ceil().to_string());
+        labels.set(
+            CPU_LABEL,
+            &(settings.cpu_share * 1000.0).round().to_string(),
+        );
+        labels.set(LINK_LABEL, &settings.link_mbps.ceil().to_string());
         let entry = VmEntry {
             vm: settings.vm.clone(),
             address: settings.front,
--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -186,7 +186,7 @@
             closing: false,
         };
         self.grant_budgets.wind_down();
-        let peers = self.members.roster.peers().to_vec();
+        let peers = self.members.vm_index.peers().to_vec();
         self.effects
             .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
     }
--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -82,7 +82,7 @@
     /// Takes over which endpoints are cold, and this router's share of what each of them bears.
     pub(crate) fn share_cold(&mut self, now: Instant) {
         let rates: Vec<_> = self.pools.keys().map(|id| self.cold_rate(id)).collect();
-        let routers = self.members.roster.serving();
+        let routers = self.members.vm_index.serving_vms();
         let router = &self.tuning.vm;
         for (pool, rate) in self.pools.values_mut().zip(rates) {
             for vm in pool.addresses.keys() {
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -397,7 +397,7 @@
     /// Takes this router's part of the retries that all routers may make together, where the settings bound them.
     pub(crate) fn update_retry_limit(&mut self) {
         if let Accounting::Grants(tuning) = self.tuning.accounting {
-            let routers = self.members.roster.serving().len() as f64;
+            let routers = self.members.vm_index.serving_vms().len() as f64;
             let floor = tuning.retries_per_sec * RETRY_SHARE / routers;
             self.retry_budget
                 .allow(tuning.retry_ratio * RETRY_SHARE, floor);
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -72,7 +72,7 @@
     pub(crate) fn serve_with_grants(&mut self) {
         let ready = self.route_table.is_some()
             && self.grant_budgets.is_loaded()
-            && !self.members.roster.list().vms.is_empty();
+            && !self.members.vm_index.list().vms.is_empty();
         if self.phase == Phase::CatchingUp && ready {
             self.phase = Phase::Serving;
             info!(event = "serving", vm = %self.tuning.vm, incarnation = %self.me);
@@ -214,14 +214,14 @@
             .into_iter()
             .map(|peer| {
                 (
-                    members.roster.capacity(&peer.vm),
+                    members.vm_index.capacity(&peer.vm),
                     (peer.domain, peer.address),
                 )
             })
             .collect();
         if self.is_serving() {
             let own = (self.tuning.domain.clone(), self.tuning.address.clone());
-            addresses.push((members.roster.capacity(&self.tuning.vm), own));
+            addresses.push((members.vm_index.capacity(&self.tuning.vm), own));
         }
         addresses.sort_by_key(|(_, (at, _))| at != domain);
         let drawn = decide::draw_by_capacity(addresses, &mut self.rng);
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -65,7 +65,7 @@
     fn isolation_limit(&self, now: Instant) -> Option<Duration> {
         let silent: Vec<_> = self
             .members
-            .roster
+            .vm_index
             .peers()
             .iter()
             .filter(|peer| !self.members.is_heard(now, &peer.vm))
@@ -87,7 +87,7 @@
     /// Without that the end of no answer could go out before the log is back, so that a run would be of no use to its
     /// caller, who does better elsewhere.
     fn has_keeper(&self, now: Instant) -> bool {
-        let peers = self.members.roster.peers();
+        let peers = self.members.vm_index.peers();
         let mut peers = peers.iter();
         let one = peers.any(|p| self.may_keep(&p.vm) && self.members.is_heard(now, &p.vm));
         let one = one || self.tuning.end_marker == EndMarker::Hold;
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -22,7 +22,7 @@
 use crate::router::event::KeptBatches;
 use crate::router::event::PeerFailure;
 use crate::router::peer_budgets::BudgetReport;
-use crate::router::roster::VmIndex;
+use crate::router::vm_index::VmIndex;
 use crate::vms::VmList;
 use crate::vms::VmState;
 
@@ -57,7 +57,7 @@
 /// What a router knows of the others.
 #[derive(Debug)]
 pub(crate) struct Members {
-    pub(crate) roster: VmIndex,
+    pub(crate) vm_index: VmIndex,
     heard: IndexMap<VmId, (Instant, Heartbeat)>,
     unheard: IndexMap<VmId, Unheard>,
     /// When each incarnation last gave a sign of life.
@@ -77,7 +77,7 @@
 impl Members {
     pub(crate) fn new(now: Instant, me: VmId) -> Self {
         Self {
-            roster: VmIndex::new(me),
+            vm_index: VmIndex::new(me),
             heard: IndexMap::new(),
             unheard: IndexMap::new(),
             signs: IndexMap::new(),
@@ -187,12 +187,12 @@
 
     /// Returns the failure domain of a VM.
     pub(crate) fn domain(&self, vm: &VmId) -> Option<&DomainId> {
-        self.roster.entry(vm).map(|entry| &entry.domain)
+        self.vm_index.entry(vm).map(|entry| &entry.domain)
     }
 
     /// Returns whether the VM list shows a VM as live.
     pub(crate) fn is_listed(&self, vm: &VmId) -> bool {
-        self.roster
+        self.vm_index
             .entry(vm)
             .is_some_and(|e| e.state == VmState::Live)
     }
@@ -200,7 +200,7 @@
     /// Returns the peers whose turn it is to hear from this router: all of them the first time, so that a router that
     /// starts is known at once.
     fn next_told(&mut self, heartbeat: Duration) -> Vec<Peer> {
-        let peers = self.roster.peers();
+        let peers = self.vm_index.peers();
         let rounds = peers.len().div_ceil(AT_ONCE);
         let round = heartbeat.saturating_mul(u32::try_from(rounds).unwrap_or(u32::MAX));
         self.fresh = round.saturating_mul(ROUNDS).max(FRESH);
@@ -219,7 +219,7 @@
             .values()
             .filter(|(at, beat)| now < *at + self.fresh && beat.serving)
             .filter_map(|(_, beat)| {
-                let entry = self.roster.entry(&beat.vm)?;
+                let entry = self.vm_index.entry(&beat.vm)?;
                 Some(decide::Peer {
                     vm: beat.vm.clone(),
                     domain: entry.domain.clone(),
@@ -237,7 +237,7 @@
             let (at, beat) = self.heard.get(vm)?;
             (now < *at + self.fresh).then_some(beat)
         };
-        let peers = self.roster.peers();
+        let peers = self.vm_index.peers();
         let words = peers.iter().filter_map(|peer| {
             Some(BudgetReport {
                 peer: peer.clone(),
@@ -251,14 +251,14 @@
     fn any_unheard(&self, now: Instant) -> bool {
         self.unheard
             .iter()
-            .any(|(vm, unheard)| now < unheard.at + self.fresh && self.roster.entry(vm).is_some())
+            .any(|(vm, unheard)| now < unheard.at + self.fresh && self.vm_index.entry(vm).is_some())
     }
 }
 
 impl Core {
     /// Takes in the VM list.
     pub(crate) fn vm_list(&mut self, now: Instant, list: VmList) {
-        if !self.members.roster.take(list) {
+        if !self.members.vm_index.update(list) {
             return;
         }
         self.take_routers();
@@ -271,9 +271,9 @@
 
     /// Takes over who keeps budgets, from the routers of the VM list.
     fn take_routers(&mut self) {
-        let roster = &self.members.roster;
+        let vm_index = &self.members.vm_index;
         self.grant_budgets
-            .take_routers(&self.tuning.vm, roster.candidates(), &roster.peers());
+            .take_routers(&self.tuning.vm, vm_index.candidates(), &vm_index.peers());
     }
 
     /// Takes in a peer's word.
@@ -300,7 +300,7 @@
         if beat.config >= self.config.next() || recent {
             return;
         }
-        let Some(peer) = self.members.roster.peer(&beat.vm).cloned() else {
+        let Some(peer) = self.members.vm_index.peer(&beat.vm).cloned() else {
             return;
         };
         self.members.relayed.insert(beat.vm.clone(), now);
@@ -345,7 +345,7 @@
         let peers = match self.tuning.accounting {
             Accounting::Grants(_) => self.members.next_told(self.tuning.heartbeat_interval),
             // A router that is not heard for seconds may be closed there.
-            Accounting::Ledger => self.members.roster.peers().to_vec(),
+            Accounting::Ledger => self.members.vm_index.peers().to_vec(),
         };
         self.members.beaten = Some(now);
         self.effects
@@ -373,7 +373,7 @@
         let mut peers = self.members.advisable(now);
         let leaving = self
             .members
-            .roster
+            .vm_index
             .entry(&self.tuning.vm)
             .is_some_and(|entry| entry.state == VmState::Leaving);
         if self.is_serving() && !leaving {
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -39,12 +39,12 @@
 mod refuse;
 mod relay;
 mod request;
-mod roster;
 mod run;
 mod stream;
 mod table_watch;
 #[cfg(test)]
 mod tests;
+mod vm_index;
 mod waiting;
 
 pub(crate) use core::Accounting;
@@ -81,5 +81,5 @@
 pub use problem::Problem;
 pub use problem::ProblemKind;
 pub use problem::Ran;
-pub(crate) use roster::CPU;
-pub(crate) use roster::LINK;
+pub(crate) use vm_index::CPU_LABEL;
+pub(crate) use vm_index::LINK_LABEL;
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -67,7 +67,7 @@
         }
         self.outage.sent = Some(now);
         self.outage.waiting = waiting;
-        for peer in self.members.roster.peers().iter().cloned() {
+        for peer in self.members.vm_index.peers().iter().cloned() {
             self.leave_with(peer);
         }
         self.go_on_kept(now);
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -171,7 +171,7 @@
             .chain(self.route_table.iter().flat_map(|table| table_pools(table)))
             .collect();
         let fixed = self.route_table.is_some();
-        let routers = self.members.roster.serving();
+        let routers = self.members.vm_index.serving_vms();
         self.pools
             .retain(|id, _| specs.iter().any(|(kept, _)| kept == id));
         for (id, spec) in specs {
@@ -184,7 +184,7 @@
                     ChaCha8Rng::seed_from_u64(seed),
                 )
             });
-            let vms = &self.members.roster.list().vms;
+            let vms = &self.members.vm_index.list().vms;
             pool.refresh(now, &spec, vms, fixed, &self.drained_domains);
             pool.picker.chooser.share(routers.len());
         }
@@ -208,7 +208,7 @@
         if self.pools.get(name)?.queue.is_empty() {
             return None;
         }
-        let routers = self.members.roster.serving();
+        let routers = self.members.vm_index.serving_vms();
         let Self {
             pools,
             requests,
@@ -238,7 +238,7 @@
 
     /// Picks another endpoint for a request whose run failed, and counts the request there.
     pub(crate) fn pick_endpoint(&mut self, now: Instant, id: RequestId) -> Option<VmId> {
-        let routers = self.members.roster.serving();
+        let routers = self.members.vm_index.serving_vms();
         let request = self.requests.get(&id)?;
         let pool = self.pools.get(&request.pool)?;
         let site = Site {
--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -34,7 +34,7 @@
             shared: prompt.shared,
             tokens,
         };
-        let peers = self.members.roster.peers();
+        let peers = self.members.vm_index.peers();
         self.effects.push(Effect::SendPromptNotice(reading, peers));
     }
 
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -130,7 +130,7 @@
             return;
         }
         self.ledger_fetched_at = Some(now);
-        let peers = self.members.roster.peers().to_vec();
+        let peers = self.members.vm_index.peers().to_vec();
         self.effects.push(Effect::Fetch(peers));
     }
 
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -134,7 +134,7 @@
     /// Asks a peer for its configuration, where the store has not brought it.
     pub(crate) fn fetch_table(&mut self, now: Instant) {
         while let Some(vm) = self.table_watch.next_asked(now) {
-            let Some(peer) = self.members.roster.peer(&vm) else {
+            let Some(peer) = self.members.vm_index.peer(&vm) else {
                 self.table_watch.failed(&vm);
                 continue;
             };
--- a/src/router/tests/drained_domains.rs
+++ b/src/router/tests/drained_domains.rs
@@ -68,7 +68,7 @@
     drain(&mut site, 5, &[0]);
     assert!(spread(&mut site, 12).iter().all(|at| *at == Some(1)));
     // Some of its endpoints are listed anew.
-    let list = site.core.members.roster.list().clone();
+    let list = site.core.members.vm_index.list().clone();
     site.tell(Event::VmList(list));
     assert!(spread(&mut site, 2).iter().all(|at| *at == Some(1)));
 }
--- a/src/router/tests/reborn.rs
+++ b/src/router/tests/reborn.rs
@@ -7,7 +7,7 @@
 use crate::vms::VmList;
 
 fn endpoint(site: &Site, born: &str) -> Event {
-    let list = site.core.members.roster.list().clone();
+    let list = site.core.members.vm_index.list().clone();
     let mut vms = list.vms;
     let engine = entry("engine-0", 9100, &[("pool", "pool"), (BORN, born)]);
     vms[0] = engine;
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -223,7 +223,7 @@
     /// Has the router's VM lose its power and be back after a while, its time of day set right: a process that knows nothing
     /// starts on it.
     pub(crate) fn lose_power(&mut self, down: Duration) {
-        let list = self.core.members.roster.list().clone();
+        let list = self.core.members.vm_index.list().clone();
         let table = self.core.route_table.clone().expect("a table");
         self.now += down;
         let started = self.now;
--- a/src/router/roster.rs
+++ b/src/router/vm_index.rs
@@ -18,50 +18,50 @@
 use crate::vms::VmState;
 
 /// The label that tells routers in the VM list.
-const ROLE: &str = "role";
+const ROLE_LABEL: &str = "role";
 
 /// The label that tells where a router listens for routers.
-const PEER: &str = "peer";
+const PEER_LABEL: &str = "peer";
 
 /// The label that tells how much processor a router's VM has, in thousandths of a core.
-pub(crate) const CPU: &str = "cpu";
+pub(crate) const CPU_LABEL: &str = "cpu";
 
 /// The label that tells how fast its link is, in Mbit/s.
-pub(crate) const LINK: &str = "link";
+pub(crate) const LINK_LABEL: &str = "link";
 
 /// What a VM that does not tell its size is thought to have.
-const UNSAID: Capacity = Capacity { cpu: 1, link: 1 };
+const DEFAULT_CAPACITY: Capacity = Capacity { cpu: 1, link: 1 };
 
 /// The VM list as one router sees it.
 #[derive(Debug)]
 pub(crate) struct VmIndex {
     me: VmId,
     list: VmList,
-    places: IndexMap<VmId, usize, BuildHasherDefault<FastHasher>>,
+    positions: IndexMap<VmId, usize, BuildHasherDefault<FastHasher>>,
     peers: Arc<[Peer]>,
-    serving: Arc<[VmId]>,
+    serving_vms: Arc<[VmId]>,
 }
 
 impl VmIndex {
     /// Makes an empty one, for the router on this VM.
     pub(crate) fn new(me: VmId) -> Self {
         Self {
-            serving: Arc::new([me.clone()]),
+            serving_vms: Arc::new([me.clone()]),
             me,
             list: VmList::default(),
-            places: IndexMap::default(),
+            positions: IndexMap::default(),
             peers: Arc::new([]),
         }
     }
 
     /// Takes a list over, unless it is older than the one known; returns whether it was taken.
-    pub(crate) fn take(&mut self, list: VmList) -> bool {
+    pub(crate) fn update(&mut self, list: VmList) -> bool {
         if list.as_of < self.list.as_of {
             return false;
         }
         let entries = list.vms.iter().enumerate();
-        self.places = entries
-            .map(|(place, entry)| (entry.vm.clone(), place))
+        self.positions = entries
+            .map(|(position, entry)| (entry.vm.clone(), position))
             .collect();
         let others = || {
             let routers = list.vms.iter().filter(|entry| is_router(entry));
@@ -70,7 +70,7 @@
         self.peers = others().filter_map(peer).collect();
         let live = others().filter(|entry| entry.state == VmState::Live);
         let live = live.map(|entry| entry.vm.clone());
-        self.serving = live.chain([self.me.clone()]).collect();
+        self.serving_vms = live.chain([self.me.clone()]).collect();
         self.list = list;
         true
     }
@@ -82,12 +82,12 @@
 
     /// Returns a VM's entry.
     pub(crate) fn entry(&self, vm: &VmId) -> Option<&VmEntry> {
-        self.list.vms.get(*self.places.get(vm)?)
+        self.list.vms.get(*self.positions.get(vm)?)
     }
 
     /// Returns what a router's VM can carry, as it says.
     pub(crate) fn capacity(&self, vm: &VmId) -> Capacity {
-        self.entry(vm).map_or(UNSAID, capacity)
+        self.entry(vm).map_or(DEFAULT_CAPACITY, capacity)
     }
 
     /// Returns all routers that are listed as live, this one among them once it is.
@@ -113,26 +113,26 @@
     }
 
     /// Returns the VMs of all other routers that are listed as live, and this one's.
-    pub(crate) fn serving(&self) -> Arc<[VmId]> {
-        self.serving.clone()
+    pub(crate) fn serving_vms(&self) -> Arc<[VmId]> {
+        self.serving_vms.clone()
     }
 }
 
 fn is_router(entry: &VmEntry) -> bool {
-    entry.labels.get(ROLE) == Some("router")
+    entry.labels.get(ROLE_LABEL) == Some("router")
 }
 
 fn capacity(entry: &VmEntry) -> Capacity {
     let label = |name| entry.labels.get(name)?.parse().ok();
     Capacity {
-        cpu: label(CPU).unwrap_or(UNSAID.cpu),
-        link: label(LINK).unwrap_or(UNSAID.link),
+        cpu: label(CPU_LABEL).unwrap_or(DEFAULT_CAPACITY.cpu),
+        link: label(LINK_LABEL).unwrap_or(DEFAULT_CAPACITY.link),
     }
 }
 
 fn peer(entry: &VmEntry) -> Option<Peer> {
     Some(Peer {
         vm: entry.vm.clone(),
-        address: entry.labels.get(PEER)?.to_owned(),
+        address: entry.labels.get(PEER_LABEL)?.to_owned(),
     })
 }
