--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -158,7 +158,7 @@
             "ledger": {
                 "next": self.ledger.next(),
                 "waiting_records": self.appender.waiting(),
-                "kept_for_peers": self.members.kept(),
+                "kept_for_peers": self.members.kept_count(),
             },
             "config": {
                 "version": self.config.version(),
--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -317,7 +317,7 @@
     }
 
     pub(crate) fn not_serving(&mut self) -> Box<Problem> {
-        let instead = self.other_address();
+        let instead = self.alternate_address();
         let problem = new_problem(
             ProblemKind::NotServing,
             "this router is leaving or has just begun",
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -78,7 +78,7 @@
         };
         if !(request.idempotent && self.may_run_unclaimed(now)) {
             let detail = "the log service can't be reached from here";
-            let instead = self.other_address();
+            let instead = self.alternate_address();
             let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
             self.refuse_with(
                 now,
--- a/src/router/closing.rs
+++ b/src/router/closing.rs
@@ -18,7 +18,7 @@
 use crate::router::core::Core;
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
-use crate::router::members::FRESH;
+use crate::router::members::FRESH_PERIOD;
 
 /// How far apart routers close the same dead one, by rank: one append's time, so that mostly one does it.
 const RANK_DELAY: Duration = Duration::from_millis(300);
@@ -43,7 +43,7 @@
 impl Core {
     /// Closes incarnations that are silent.
     pub(crate) fn close_dead(&mut self, now: Instant) {
-        let log_fresh = now < self.members.log_heard + FRESH;
+        let log_fresh = now < self.members.log_answered_at + FRESH_PERIOD;
         if !self.is_serving() || self.in_outage(now) || !log_fresh {
             // What was sent off may not have landed; all of it begins again when the log is back.
             self.members.closing.clear();
@@ -66,7 +66,7 @@
     /// Returns whether an incarnation has given no sign of life for long enough.
     fn is_silent(&mut self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
         let rank = self.rank(router);
-        let last = *self.members.signs.entry(router).or_insert(now);
+        let last = *self.members.last_seen.entry(router).or_insert(now);
         let base = match self.members.is_replaced(now, router, vm) {
             true => Duration::ZERO,
             false => self.patience_with(now, vm),
@@ -91,7 +91,7 @@
     /// Its last bills may be known to its peers alone. Were it closed first, they would be void, and answers that
     /// callers have whole would stay unbilled.
     fn close_one(&mut self, now: Instant, router: Incarnation, sequence: Sequence) {
-        let kept = self.members.kept.get(&router);
+        let kept = self.members.kept_batches.get(&router);
         let missing = kept.filter(|kept| kept.last > sequence);
         let begun = self.members.closing.get(&router).copied();
         let mut closing = begun.unwrap_or(Closing {
@@ -130,9 +130,9 @@
         let members = &mut self.members;
         members.closing.retain(|id, _| ledger.is_open(*id));
         members
-            .signs
+            .last_seen
             .retain(|id, _| ledger.router(*id).is_none_or(|state| !state.closed));
-        members.kept.retain(|id, kept| {
+        members.kept_batches.retain(|id, kept| {
             let state = ledger.router(*id);
             state.is_none_or(|s| !s.closed && s.sequence < kept.last)
         });
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -229,11 +229,11 @@
 impl RefuseLimiter {
     /// Takes one proof, if one is left.
     pub(crate) fn try_acquire(&mut self, now: Instant) -> bool {
-        let since = self
+        let elapsed = self
             .refilled_at
             .map_or(Duration::from_secs(1), |at| now - at);
         self.available =
-            (self.available + since.as_secs_f64() * REFUSES_PER_SEC).min(REFUSES_PER_SEC);
+            (self.available + elapsed.as_secs_f64() * REFUSES_PER_SEC).min(REFUSES_PER_SEC);
         self.refilled_at = Some(now);
         if self.available < 1.0 {
             return false;
@@ -311,9 +311,9 @@
             Event::CaughtUp => self.caught_up(now),
             Event::LedgerSnapshot(ledger) => self.adopt_ledger(now, *ledger),
             Event::ConfigSnapshot(snapshot) => self.adopt_config(now, *snapshot),
-            Event::VmList(list) => self.vm_list(now, list),
-            Event::HeartbeatReceived(beat) => self.heard(now, beat),
-            Event::HeartbeatFailed(vm, silence) => self.members.unheard(now, vm, silence),
+            Event::VmList(list) => self.handle_vm_list(now, list),
+            Event::HeartbeatReceived(beat) => self.handle_heartbeat(now, beat),
+            Event::HeartbeatFailed(vm, failure) => self.members.record_failure(now, vm, failure),
             Event::KeepBatches(id, batches) => self.keep(id, batches),
             Event::BatchesKept {
                 peer,
@@ -328,18 +328,18 @@
             Event::Admin(id, request) => self.admin(now, id, request),
             Event::Table(table) => self.apply_table(now, table),
             Event::DrainedDomains(drained) => self.take_drained(now, &drained),
-            Event::ColdEndpoints(words) => self.endpoints_cold(now, &words),
+            Event::ColdEndpoints(periods) => self.endpoints_cold(now, &periods),
             Event::TableFetchFailed(vm) => self.table_unsent(now, &vm),
             Event::TableConfirmed(at) => self.table_confirmed(now, at),
             Event::Grants(event) => self.handle_grant_event(now, event),
-            Event::PromptNotice(reading) => self.reads(now, &reading),
-            Event::TransferReceived(id, gift) => self.accept_gift(id, &gift),
-            Event::TransferAnswered(gift, taken) => {
-                self.grant_budgets.finish_transfer(&gift, taken)
+            Event::PromptNotice(notice) => self.reads(now, &notice),
+            Event::TransferReceived(id, transfer) => self.accept_gift(id, &transfer),
+            Event::TransferAnswered(transfer, taken) => {
+                self.grant_budgets.finish_transfer(&transfer, taken)
             }
-            Event::LoanRequested(id, ask) => self.handle_loan_ask(now, id, &ask),
-            Event::LoanAnswered(ask, amount) => {
-                self.grant_budgets.record_loan_answer(now, &ask, amount)
+            Event::LoanRequested(id, request) => self.handle_loan_ask(now, id, &request),
+            Event::LoanAnswered(request, amount) => {
+                self.grant_budgets.record_loan_answer(now, &request, amount)
             }
             Event::SettingsChanged(tuning) => self.apply_tuning(*tuning),
             Event::Drain => self.drain(now),
@@ -407,7 +407,7 @@
     /// Begins to refuse what lay in the sockets while the process was stopped.
     fn handle_pause(&mut self, now: Instant) {
         self.stale_until = Some(now + STALE_PERIOD);
-        self.members.forgive(now);
+        self.members.reset_silence(now);
     }
 
     /// Sends off what has gathered.
@@ -439,7 +439,7 @@
     fn tick_grants(&mut self, now: Instant, tuning: GrantTuning) {
         self.expire_requests(now);
         self.leave_silent(now);
-        self.beat(now);
+        self.send_heartbeat(now);
         self.fetch_table(now);
         self.tick_pools(now);
         self.continue_drain(now, tuning.min_drain);
@@ -451,7 +451,7 @@
         self.expire_requests(now);
         self.recheck_contended(now);
         self.rebalance_holdings(now);
-        self.beat(now);
+        self.send_heartbeat(now);
         self.close_dead(now);
         self.replicate(now);
         self.tick_pools(now);
--- a/src/router/event.rs
+++ b/src/router/event.rs
@@ -441,7 +441,7 @@
 
 impl KeptBatches {
     /// Returns the batches up to a number.
-    pub(crate) fn upto(&self, number: Sequence) -> &[Vec<u8>] {
+    pub(crate) fn up_to(&self, number: Sequence) -> &[Vec<u8>] {
         let beyond = usize::try_from(self.last.0.saturating_sub(number.0)).unwrap_or(usize::MAX);
         &self.batches[..self.batches.len().saturating_sub(beyond)]
     }
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -125,7 +125,7 @@
             }
         }
         if self.grant_budgets.is_refresh_due(now) {
-            let words = self.members.budget_words(now);
+            let words = self.members.budget_reports(now);
             self.grant_budgets.update_peer_budgets(now, &words);
         }
         if !self.grant_budgets.is_due(now) {
@@ -207,8 +207,8 @@
 
     /// Returns the addresses that a caller in a failure domain may use: those of live routers that are not stopping.
     pub(crate) fn directory(&mut self, now: Instant, domain: &DomainId) -> Vec<String> {
-        let mut peers = self.members.advisable(now);
-        peers.retain(|peer| !peer.leaving && self.members.silence(now, &peer.vm).is_none());
+        let mut peers = self.members.advisable_peers(now);
+        peers.retain(|peer| !peer.leaving && self.members.peer_failure(now, &peer.vm).is_none());
         let members = &self.members;
         let mut addresses: Vec<_> = peers
             .into_iter()
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -31,7 +31,7 @@
     /// Returns how long a silent router is left alone.
     pub(crate) fn patience_with(&self, now: Instant, vm: &VmId) -> Duration {
         let silence = self.tuning.silence_timeout;
-        let seen = self.members.silence(now, vm);
+        let seen = self.members.peer_failure(now, vm);
         match (seen, self.members.is_listed(vm)) {
             (Some(PeerFailure::Refused), _) => silence / REFUSED_PART,
             (_, false) => silence,
@@ -56,7 +56,7 @@
 
     /// Returns whether a run may begin whose claim the log does not take.
     pub(crate) fn may_run_unclaimed(&self, now: Instant) -> bool {
-        let since = now.saturating_duration_since(self.members.log_heard);
+        let since = now.saturating_duration_since(self.members.log_answered_at);
         let limit = self.isolation_limit(now);
         self.has_keeper(now) && limit.is_none_or(|limit| since < limit)
     }
@@ -68,11 +68,11 @@
             .vm_index
             .peers()
             .iter()
-            .filter(|peer| !self.members.is_heard(now, &peer.vm))
+            .filter(|peer| !self.members.heard_recently(now, &peer.vm))
             .cloned()
             .collect();
         let parted = |peer: &crate::router::Peer| {
-            self.members.silence(now, &peer.vm) == Some(PeerFailure::Unreachable)
+            self.members.peer_failure(now, &peer.vm) == Some(PeerFailure::Unreachable)
         };
         let time = match () {
             () if silent.is_empty() => return None,
@@ -89,13 +89,13 @@
     fn has_keeper(&self, now: Instant) -> bool {
         let peers = self.members.vm_index.peers();
         let mut peers = peers.iter();
-        let one = peers.any(|p| self.may_keep(&p.vm) && self.members.is_heard(now, &p.vm));
+        let one = peers.any(|p| self.may_keep(&p.vm) && self.members.heard_recently(now, &p.vm));
         let one = one || self.tuning.end_marker == EndMarker::Hold;
         match self.tuning.lean {
             Lean::Available => one,
             Lean::Strict => {
                 let mut closers = self.closers().into_iter();
-                one && closers.all(|vm| self.members.is_heard(now, &vm))
+                one && closers.all(|vm| self.members.heard_recently(now, &vm))
             }
         }
     }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -27,29 +27,29 @@
 use crate::vms::VmState;
 
 /// How many heartbeats in a row must find that nothing listens: one may meet a router that restarts.
-const REFUSALS: u32 = 2;
+const MIN_REFUSALS: u32 = 2;
 
 /// How old word from the log or from a peer may be to count as fresh.
-pub(crate) const FRESH: Duration = Duration::from_secs(3);
+pub(crate) const FRESH_PERIOD: Duration = Duration::from_secs(3);
 
 /// How many peers hear from a router at each heartbeat. A fleet of up to thirteen hears from all at once; in a larger one the
 /// peers take turns, so that what heartbeats cost a VM does not grow with the fleet. With 64 VMs of a tenth of a core, all
 /// at once were 250 calls a second at each.
-const AT_ONCE: usize = 12;
+const HEARTBEAT_FANOUT: usize = 12;
 
 /// How many rounds of heartbeats a peer's word counts as fresh: one of its calls may be lost, and ours bring its word too.
-const ROUNDS: u32 = 2;
+const FRESH_ROUNDS: u32 = 2;
 
 /// How often a router that some peer cannot hear shows itself in the log.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A peer's silence.
 #[derive(Clone, Copy, Debug)]
-struct Unheard {
+struct FailureStreak {
     /// When it last did not answer.
     at: Instant,
     /// In what way.
-    silence: PeerFailure,
+    failure: PeerFailure,
     /// How often in a row in this way.
     count: u32,
 }
@@ -58,37 +58,37 @@
 #[derive(Debug)]
 pub(crate) struct Members {
     pub(crate) vm_index: VmIndex,
-    heard: IndexMap<VmId, (Instant, Heartbeat)>,
-    unheard: IndexMap<VmId, Unheard>,
+    heartbeats: IndexMap<VmId, (Instant, Heartbeat)>,
+    failures: IndexMap<VmId, FailureStreak>,
     /// When each incarnation last gave a sign of life.
-    pub(crate) signs: IndexMap<Incarnation, Instant>,
-    pub(crate) kept: IndexMap<Incarnation, KeptBatches>,
+    pub(crate) last_seen: IndexMap<Incarnation, Instant>,
+    pub(crate) kept_batches: IndexMap<Incarnation, KeptBatches>,
     pub(crate) closing: IndexMap<Incarnation, Closing>,
-    relayed: IndexMap<VmId, Instant>,
-    pub(crate) log_heard: Instant,
-    beaten: Option<Instant>,
+    config_sent: IndexMap<VmId, Instant>,
+    pub(crate) log_answered_at: Instant,
+    heartbeat_sent: Option<Instant>,
     /// Whose turn to hear from this router is next.
-    turn: usize,
+    next_peer: usize,
     /// How old a peer's word, or its silence, may be and count.
-    fresh: Duration,
-    shown: Instant,
+    fresh_period: Duration,
+    keep_alive_sent: Instant,
 }
 
 impl Members {
     pub(crate) fn new(now: Instant, me: VmId) -> Self {
         Self {
             vm_index: VmIndex::new(me),
-            heard: IndexMap::new(),
-            unheard: IndexMap::new(),
-            signs: IndexMap::new(),
-            kept: IndexMap::new(),
+            heartbeats: IndexMap::new(),
+            failures: IndexMap::new(),
+            last_seen: IndexMap::new(),
+            kept_batches: IndexMap::new(),
             closing: IndexMap::new(),
-            relayed: IndexMap::new(),
-            log_heard: now,
-            beaten: None,
-            turn: 0,
-            fresh: FRESH,
-            shown: now,
+            config_sent: IndexMap::new(),
+            log_answered_at: now,
+            heartbeat_sent: None,
+            next_peer: 0,
+            fresh_period: FRESH_PERIOD,
+            keep_alive_sent: now,
         }
     }
 
@@ -96,54 +96,60 @@
     ///
     /// While this router could not read the log, others may have shown themselves there; closing them for a silence
     /// that was its own would take down the living.
-    pub(crate) fn forgive(&mut self, now: Instant) {
-        self.signs.values_mut().for_each(|at| *at = now);
+    pub(crate) fn reset_silence(&mut self, now: Instant) {
+        self.last_seen.values_mut().for_each(|at| *at = now);
     }
 
     /// Notes that the log answered.
     pub(crate) fn log_answered(&mut self, now: Instant) {
-        if now >= self.log_heard + FRESH {
-            self.forgive(now);
+        if now >= self.log_answered_at + FRESH_PERIOD {
+            self.reset_silence(now);
         }
-        self.log_heard = now;
+        self.log_answered_at = now;
     }
 
     /// Notes a batch of a router in the log.
-    pub(crate) fn appended(&mut self, now: Instant, router: Incarnation) {
-        self.signs.insert(router, now);
+    pub(crate) fn batch_appended(&mut self, now: Instant, router: Incarnation) {
+        self.last_seen.insert(router, now);
     }
 
     /// Notes that a peer did not answer.
-    pub(crate) fn unheard(&mut self, now: Instant, vm: VmId, silence: PeerFailure) {
-        let row = self.unheard.get(&vm).filter(|u| u.silence == silence);
-        let count = row.map_or(0, |u| u.count) + 1;
-        let unheard = Unheard {
+    pub(crate) fn record_failure(&mut self, now: Instant, vm: VmId, failure: PeerFailure) {
+        let row = self.failures.get(&vm).filter(|f| f.failure == failure);
+        let count = row.map_or(0, |f| f.count) + 1;
+        let failures = FailureStreak {
             at: now,
-            silence,
+            failure,
             count,
         };
-        self.unheard.insert(vm, unheard);
+        self.failures.insert(vm, failures);
     }
 
     /// Returns in what way a peer is silent, if it is; one refusal may have met a router that restarts.
-    pub(crate) fn silence(&self, now: Instant, vm: &VmId) -> Option<PeerFailure> {
-        let unheard = self.unheard.get(vm).filter(|u| now < u.at + self.fresh)?;
-        match unheard.silence {
-            PeerFailure::Refused if unheard.count < REFUSALS => Some(PeerFailure::Mute),
-            silence => Some(silence),
+    pub(crate) fn peer_failure(&self, now: Instant, vm: &VmId) -> Option<PeerFailure> {
+        let failures = self
+            .failures
+            .get(vm)
+            .filter(|f| now < f.at + self.fresh_period)?;
+        match failures.failure {
+            PeerFailure::Refused if failures.count < MIN_REFUSALS => Some(PeerFailure::Mute),
+            failure => Some(failure),
         }
     }
 
     /// Returns whether a peer was heard of late.
-    pub(crate) fn is_heard(&self, now: Instant, vm: &VmId) -> bool {
-        self.heard
+    pub(crate) fn heard_recently(&self, now: Instant, vm: &VmId) -> bool {
+        self.heartbeats
             .get(vm)
-            .is_some_and(|(at, _)| now < *at + self.fresh)
+            .is_some_and(|(at, _)| now < *at + self.fresh_period)
     }
 
     /// Returns whether another incarnation runs on a router's VM, so that it is dead.
     pub(crate) fn is_replaced(&self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
-        let heard = self.heard.get(vm).filter(|(at, _)| now < *at + self.fresh);
+        let heard = self
+            .heartbeats
+            .get(vm)
+            .filter(|(at, _)| now < *at + self.fresh_period);
         heard.is_some_and(|(_, beat)| beat.router != router)
     }
 
@@ -151,13 +157,13 @@
     ///
     /// `folded` is the number of the last one that the log has. With a gap behind that, or behind what is kept, no batch
     /// after the gap would count when the peer is dead.
-    pub(crate) fn keep(&mut self, new: KeptBatches, folded: Sequence) -> bool {
-        let old = self.kept.get(&new.router);
+    pub(crate) fn keep_batches(&mut self, new: KeptBatches, folded: Sequence) -> bool {
+        let old = self.kept_batches.get(&new.router);
         if old.is_some_and(|old| (old.last, old.records) > (new.last, new.records)) {
             return true;
         }
         let before = match old {
-            Some(old) if old.last >= new.after => old.upto(new.after),
+            Some(old) if old.last >= new.after => old.up_to(new.after),
             _ if folded >= new.after => &[],
             _ => return false,
         };
@@ -167,13 +173,13 @@
             batches,
             ..new
         };
-        self.kept.insert(kept.router, kept);
+        self.kept_batches.insert(kept.router, kept);
         true
     }
 
     /// Returns whether a batch that is kept here claims a request.
     pub(crate) fn keeps_claim(&self, key: &RequestKey) -> bool {
-        let batches = self.kept.values().flat_map(|kept| &kept.batches);
+        let batches = self.kept_batches.values().flat_map(|kept| &kept.batches);
         let mut records = batches
             .filter_map(|bytes| decode(bytes).ok())
             .flat_map(|batch| batch.records);
@@ -181,8 +187,8 @@
     }
 
     /// Returns how many routers' batches are kept here.
-    pub(crate) fn kept(&self) -> usize {
-        self.kept.len()
+    pub(crate) fn kept_count(&self) -> usize {
+        self.kept_batches.len()
     }
 
     /// Returns the failure domain of a VM.
@@ -199,25 +205,25 @@
 
     /// Returns the peers whose turn it is to hear from this router: all of them the first time, so that a router that
     /// starts is known at once.
-    fn next_told(&mut self, heartbeat: Duration) -> Vec<Peer> {
+    fn next_recipients(&mut self, heartbeat: Duration) -> Vec<Peer> {
         let peers = self.vm_index.peers();
-        let rounds = peers.len().div_ceil(AT_ONCE);
+        let rounds = peers.len().div_ceil(HEARTBEAT_FANOUT);
         let round = heartbeat.saturating_mul(u32::try_from(rounds).unwrap_or(u32::MAX));
-        self.fresh = round.saturating_mul(ROUNDS).max(FRESH);
-        if self.beaten.is_none() || peers.len() <= AT_ONCE {
+        self.fresh_period = round.saturating_mul(FRESH_ROUNDS).max(FRESH_PERIOD);
+        if self.heartbeat_sent.is_none() || peers.len() <= HEARTBEAT_FANOUT {
             return peers.to_vec();
         }
-        let from = self.turn % peers.len();
-        self.turn = from + AT_ONCE;
+        let from = self.next_peer % peers.len();
+        self.next_peer = from + HEARTBEAT_FANOUT;
         let round = peers.iter().cycle().skip(from);
-        round.take(AT_ONCE).cloned().collect()
+        round.take(HEARTBEAT_FANOUT).cloned().collect()
     }
 
     /// Returns the routers heard of lately that take requests and stay.
-    pub(crate) fn advisable(&self, now: Instant) -> Vec<decide::Peer> {
-        self.heard
+    pub(crate) fn advisable_peers(&self, now: Instant) -> Vec<decide::Peer> {
+        self.heartbeats
             .values()
-            .filter(|(at, beat)| now < *at + self.fresh && beat.serving)
+            .filter(|(at, beat)| now < *at + self.fresh_period && beat.serving)
             .filter_map(|(_, beat)| {
                 let entry = self.vm_index.entry(&beat.vm)?;
                 Some(decide::Peer {
@@ -232,10 +238,10 @@
     }
 
     /// Returns the routers heard of lately, and what they said of their budgets.
-    pub(crate) fn budget_words(&self, now: Instant) -> Vec<BudgetReport> {
+    pub(crate) fn budget_reports(&self, now: Instant) -> Vec<BudgetReport> {
         let fresh = |vm: &VmId| {
-            let (at, beat) = self.heard.get(vm)?;
-            (now < *at + self.fresh).then_some(beat)
+            let (at, beat) = self.heartbeats.get(vm)?;
+            (now < *at + self.fresh_period).then_some(beat)
         };
         let peers = self.vm_index.peers();
         let words = peers.iter().filter_map(|peer| {
@@ -248,20 +254,20 @@
     }
 
     /// Returns whether some peer of the list did not answer of late.
-    fn any_unheard(&self, now: Instant) -> bool {
-        self.unheard
-            .iter()
-            .any(|(vm, unheard)| now < unheard.at + self.fresh && self.vm_index.entry(vm).is_some())
+    fn any_failing(&self, now: Instant) -> bool {
+        self.failures.iter().any(|(vm, failures)| {
+            now < failures.at + self.fresh_period && self.vm_index.entry(vm).is_some()
+        })
     }
 }
 
 impl Core {
     /// Takes in the VM list.
-    pub(crate) fn vm_list(&mut self, now: Instant, list: VmList) {
+    pub(crate) fn handle_vm_list(&mut self, now: Instant, list: VmList) {
         if !self.members.vm_index.update(list) {
             return;
         }
-        self.take_routers();
+        self.update_routers();
         self.rebuild_pools(now);
         self.update_retry_limit();
         if let Accounting::Grants(_) = self.tuning.accounting {
@@ -270,31 +276,31 @@
     }
 
     /// Takes over who keeps budgets, from the routers of the VM list.
-    fn take_routers(&mut self) {
+    fn update_routers(&mut self) {
         let vm_index = &self.members.vm_index;
         self.grant_budgets
             .take_routers(&self.tuning.vm, vm_index.candidates(), &vm_index.peers());
     }
 
     /// Takes in a peer's word.
-    pub(crate) fn heard(&mut self, now: Instant, beat: Heartbeat) {
-        self.members.signs.insert(beat.router, now);
-        self.members.unheard.swap_remove(&beat.vm);
+    pub(crate) fn handle_heartbeat(&mut self, now: Instant, beat: Heartbeat) {
+        self.members.last_seen.insert(beat.router, now);
+        self.members.failures.swap_remove(&beat.vm);
         self.grant_budgets.handle_heartbeat(now, &beat);
-        self.relay_config(now, &beat);
+        self.send_config(now, &beat);
         self.hear_table(now, &beat);
         self.take_drained(now, &beat.drained);
-        let before = self.members.heard.insert(beat.vm.clone(), (now, beat));
+        let before = self.members.heartbeats.insert(beat.vm.clone(), (now, beat));
         if before.is_none() {
             self.grant_budgets.request_refresh();
         }
     }
 
     /// Sends the configuration to a peer that is behind, as one that cannot read the log is.
-    fn relay_config(&mut self, now: Instant, beat: &Heartbeat) {
+    fn send_config(&mut self, now: Instant, beat: &Heartbeat) {
         let recent = self
             .members
-            .relayed
+            .config_sent
             .get(&beat.vm)
             .is_some_and(|at| now < *at + Duration::from_secs(1));
         if beat.config >= self.config.next() || recent {
@@ -303,7 +309,7 @@
         let Some(peer) = self.members.vm_index.peer(&beat.vm).cloned() else {
             return;
         };
-        self.members.relayed.insert(beat.vm.clone(), now);
+        self.members.config_sent.insert(beat.vm.clone(), now);
         let snapshot = Box::new(self.config.snapshot());
         self.effects.push(Effect::SendConfig(snapshot, peer));
     }
@@ -334,43 +340,46 @@
     }
 
     /// Tells peers that this router lives, and shows itself in the log where one of them can't hear it.
-    pub(crate) fn beat(&mut self, now: Instant) {
+    pub(crate) fn send_heartbeat(&mut self, now: Instant) {
         let due = self
             .members
-            .beaten
+            .heartbeat_sent
             .is_none_or(|at| now >= at + self.tuning.heartbeat_interval);
         if !due {
             return;
         }
         let peers = match self.tuning.accounting {
-            Accounting::Grants(_) => self.members.next_told(self.tuning.heartbeat_interval),
+            Accounting::Grants(_) => self.members.next_recipients(self.tuning.heartbeat_interval),
             // A router that is not heard for seconds may be closed there.
             Accounting::Ledger => self.members.vm_index.peers().to_vec(),
         };
-        self.members.beaten = Some(now);
+        self.members.heartbeat_sent = Some(now);
         self.effects
             .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
         // A router parted from its peers, but not from the log, would be closed for its silence.
         if let Accounting::Grants(_) = self.tuning.accounting {
             return;
         }
-        let quiet = now >= self.members.shown + KEEP_ALIVE;
-        if self.is_serving() && quiet && self.members.any_unheard(now) {
-            self.members.shown = now;
+        let quiet = now >= self.members.keep_alive_sent + KEEP_ALIVE_INTERVAL;
+        if self.is_serving() && quiet && self.members.any_failing(now) {
+            self.members.keep_alive_sent = now;
             self.appender.keep_alive();
         }
     }
 
     /// Returns where a caller may go instead of here.
-    pub(crate) fn other_address(&mut self) -> Option<String> {
-        let now = self.members.log_heard.max(self.members.beaten?);
-        let peers = self.members.advisable(now);
+    pub(crate) fn alternate_address(&mut self) -> Option<String> {
+        let now = self
+            .members
+            .log_answered_at
+            .max(self.members.heartbeat_sent?);
+        let peers = self.members.advisable_peers(now);
         decide::advise(&peers, None, &mut self.rng).map(|advice| advice.address)
     }
 
     /// Advises a caller which router to use.
     pub(crate) fn advice(&mut self, now: Instant) -> Option<decide::Advice> {
-        let mut peers = self.members.advisable(now);
+        let mut peers = self.members.advisable_peers(now);
         let leaving = self
             .members
             .vm_index
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -109,7 +109,7 @@
     pub(crate) fn keep(&mut self, id: ReplyId, batches: KeptBatches) {
         let state = self.ledger.router(batches.router);
         let folded = state.filter(|state| !state.closed).map(|s| s.sequence);
-        let keeps = folded.is_some_and(|folded| self.members.keep(batches, folded));
+        let keeps = folded.is_some_and(|folded| self.members.keep_batches(batches, folded));
         let status = if keeps { 200 } else { 409 };
         self.effects.push(Effect::Answer(id, status, Value::Null));
     }
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -403,7 +403,7 @@
             }
             State::Funding { .. } if outage && now >= request.arrived_at + FUNDING_OUTAGE => {
                 let detail = "the log service can't be reached, and this router holds too little of the budget";
-                let instead = self.other_address();
+                let instead = self.alternate_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
                 self.refuse_with(
                     now,
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -56,7 +56,7 @@
     fn fold_batch(&mut self, now: Instant, entry: &Entry, batch: &Batch) {
         let verdicts = self.ledger.apply(entry.offset, entry.at, batch);
         self.last_folded_at = Some(now);
-        self.members.appended(now, batch.router);
+        self.members.batch_appended(now, batch.router);
         self.learn_crashes(now, batch, &verdicts);
         self.record_claims(now, batch);
         self.answer_shortage(now, batch, &verdicts);
@@ -139,7 +139,7 @@
         if self.phase != Phase::CatchingUp {
             return;
         }
-        self.members.forgive(now);
+        self.members.reset_silence(now);
         self.caught_up_at = Some(now);
         self.open_in_turn(now);
     }
@@ -223,7 +223,7 @@
         }
         info!(event = "ledger-adopted", next = %ledger.next());
         self.ledger = ledger;
-        self.members.forgive(now);
+        self.members.reset_silence(now);
         if self.phase != Phase::CatchingUp {
             // The verdicts of what was folded in between are not to be had: whatever waits for one can't be told
             // what became of it. A new incarnation makes all of that void or settled.
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -178,7 +178,7 @@
             Ran::No,
             "this router may not have the newest configuration yet",
         );
-        let instead = self.other_address();
+        let instead = self.alternate_address();
         Box::new(problem.with_instead(instead).with_retry(RETRY))
     }
 }
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -211,11 +211,11 @@
         batches: vec![vec![1]; count],
     };
     let fresh = || Members::new(bench.now, tuning(0).vm);
-    assert!(!fresh().keep(left(folded.0 + 5, 1), folded));
-    assert!(fresh().keep(left(folded.0, 2), folded));
+    assert!(!fresh().keep_batches(left(folded.0 + 5, 1), folded));
+    assert!(fresh().keep_batches(left(folded.0, 2), folded));
     let mut members = fresh();
-    assert!(members.keep(left(folded.0, 3), folded));
-    assert!(members.keep(left(folded.0 + 2, 2), folded));
-    assert_eq!(members.kept[&router].batches.len(), 4);
-    assert_eq!(members.kept[&router].last, Sequence(folded.0 + 4));
+    assert!(members.keep_batches(left(folded.0, 3), folded));
+    assert!(members.keep_batches(left(folded.0 + 2, 2), folded));
+    assert_eq!(members.kept_batches[&router].batches.len(), 4);
+    assert_eq!(members.kept_batches[&router].last, Sequence(folded.0 + 4));
 }
