--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -1,4 +1,4 @@
-//! The core of a router: its state, and the way from an event to what answers it.
+//! The state of a router and the dispatch of events to their handlers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,88 +49,87 @@
 use crate::settings::EndMarker;
 use crate::tokens::Tokens;
 
-/// What a router is told at its start.
+/// Identity, time-outs and limits of a router, from its settings.
 #[derive(Clone, Debug)]
 pub(crate) struct Tuning {
-    /// Its VM.
     pub(crate) vm: VmId,
-    /// Its failure domain.
     pub(crate) domain: DomainId,
-    /// Where callers reach it, `ip:port`.
+    /// Address that callers use, `ip:port`.
     pub(crate) address: String,
-    /// Which user's measure its policies lean to.
+    /// Whether the policies favour an exact view of budgets or availability during a partition.
     pub(crate) lean: Lean,
-    /// How records are gathered into appends.
+    /// How records are batched into appends to the log.
     pub(crate) pace: Pace,
-    /// How long a batch may go without its verdict before the log counts as down.
+    /// Time after which an unacknowledged batch counts as an outage of the log.
     pub(crate) outage_after: Duration,
-    /// When the end of an answer goes out while the log is down.
+    /// When the end of an answer is sent during an outage of the log.
     pub(crate) end_marker: EndMarker,
-    /// How often peers hear from it.
+    /// Interval between heartbeats to peers.
     pub(crate) heartbeat_interval: Duration,
-    /// How long a router that the VM list no longer shows may be silent before it is closed.
+    /// Silence after which a router that is no longer in the VM list is closed.
     pub(crate) silence_timeout: Duration,
-    /// How long a caller waits where it does not say.
+    /// Deadline of a request whose caller sets none.
     pub(crate) default_deadline: Duration,
-    /// How many requests may wait for each pool's endpoints.
+    /// Maximum number of requests queued for each pool.
     pub(crate) queue_limit: usize,
-    /// How long the log keeps records.
+    /// How long the log retains records.
     pub(crate) log_retention: Duration,
-    /// How long a request may wait for an endpoint.
+    /// Maximum time that a request is queued for an endpoint.
     pub(crate) queue_timeout: Duration,
-    /// How long a caller may keep an advised address.
+    /// How long a caller may cache an advised address.
     pub(crate) address_ttl: Duration,
-    /// How long a router that the VM list shows may be out of reach before it is closed.
+    /// How long a router that is still in the VM list may be unreachable before it is closed.
     pub(crate) partition_timeout: Duration,
-    /// How long a planned stop waits for the requests in progress.
+    /// How long a planned stop waits for requests in progress.
     pub(crate) drain_timeout: Duration,
-    /// How budgets are kept.
+    /// How budgets are accounted for.
     pub(crate) accounting: Accounting,
-    /// The VM's clock, by which moments outlast the process.
+    /// Clock of the VM's boot; its time stamps remain valid after a restart of the process.
     pub(crate) clock: BootClock,
 }
 
-/// How budgets are kept.
+/// How budgets are accounted for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Accounting {
-    /// By the ledger: claims and bills under the callers' keys.
+    /// Through the ledger, with claims and bills for each request key.
     Ledger,
-    /// By grants to each router, written on a condition to a log that keeps the newest of each.
+    /// Through grants to each router, written conditionally to a log that retains the newest record of each key.
     Grants(GrantTuning),
 }
 
-/// What a router that lives by grants is told at its start.
+/// Settings of a router whose budgets are granted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GrantTuning {
-    /// How long the platform's word that there is no newer configuration holds: how late a change may be in force.
+    /// How long the platform's confirmation that there is no newer configuration is valid, and so the longest delay
+    /// until a change is in force.
     pub(crate) config_max_age: Duration,
-    /// How long a planned stop goes on serving though nothing is in progress: callers keep addresses that long.
+    /// Minimum time for which a planned stop goes on serving, even when idle: callers cache addresses for that long.
     pub(crate) min_drain: Duration,
-    /// Runs beyond the first that all routers together may make for each request.
+    /// Retries per request that all routers together may make.
     pub(crate) retry_ratio: f64,
-    /// Runs beyond that which all routers together may make a second.
+    /// Retries per second that all routers together may make in addition.
     pub(crate) retries_per_sec: f64,
 }
 
-/// What a router does with new requests.
+/// Stage of a router's life, which decides whether it accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It has not read the log yet.
+    /// The log has not been read up to its end yet.
     CatchingUp,
-    /// Its opening record is on its way.
+    /// The record that opens the router has been sent and is not acknowledged yet.
     Opening,
-    /// It takes requests.
+    /// New requests are accepted.
     Serving,
-    /// It takes none and ends when those in progress are over.
+    /// No new requests are accepted; the process exits once those in progress have finished.
     Draining {
-        /// Since when.
+        /// When draining began.
         since: Instant,
-        /// Whether its closing record is on its way.
+        /// Whether the record that closes the router has been sent.
         closing: bool,
     },
 }
 
-/// What comes back with a record's verdict.
+/// What a record was written for; returned together with its verdict.
 #[derive(Clone, Debug)]
 pub(crate) enum Ticket {
     Open,
@@ -149,7 +148,7 @@
     Other,
 }
 
-/// A router's core.
+/// State of a router.
 pub(crate) struct Core {
     pub(crate) tuning: Tuning,
     pub(crate) rng: ChaCha8Rng,
@@ -159,15 +158,15 @@
     pub(crate) config: Config,
     pub(crate) appender: Appender<Ticket>,
     pub(crate) requests: IndexMap<RequestId, Request>,
-    /// The request that has each key here.
+    /// The request in progress at this router for each key.
     pub(crate) request_by_key: IndexMap<RequestKey, RequestId>,
-    /// Requests that wait for another attempt's end.
+    /// Requests that wait until another attempt with their key ends.
     pub(crate) contended: Vec<RequestId>,
     pub(crate) ledger_budgets: IndexMap<TeamId, LedgerBudget>,
     pub(crate) holding_policy: HoldingPolicy,
-    /// What was asked for here.
+    /// Demand for each team's budget at this router.
     pub(crate) own_demand: IndexMap<TeamId, Demand>,
-    /// What the whole fleet claimed.
+    /// Demand for each team's budget in all routers, taken from their claims.
     pub(crate) fleet_demand: IndexMap<TeamId, Demand>,
     pub(crate) account_limits: IndexMap<AccountId, AccountLimit>,
     pub(crate) pools: IndexMap<PoolId, Pool>,
@@ -176,58 +175,56 @@
     pub(crate) effects: Vec<Effect>,
     pub(crate) outage: Outage,
     pub(crate) refuse_limiter: RefuseLimiter,
-    /// Until when requests may be ones that lay in a socket while the process was stopped.
+    /// Requests that arrive before this time may have been in a socket buffer while the process was suspended.
     pub(crate) stale_until: Option<Instant>,
-    /// When the router started.
     pub(crate) started_at: Instant,
-    /// Since when all of the log is folded, while the router waits to open.
+    /// When the log was read up to its end, while the router waits to open.
     pub(crate) caught_up_at: Option<Instant>,
-    /// When a state of the ledger was last asked for.
+    /// When the ledger's state was last requested.
     pub(crate) ledger_fetched_at: Option<Instant>,
-    /// When a record was last folded.
     pub(crate) last_folded_at: Option<Instant>,
-    /// When holdings were last looked over.
+    /// When the holdings of each team were last rebalanced.
     pub(crate) rebalanced_at: Option<Instant>,
-    /// Before this a router writes no checkpoint.
+    /// Earliest time at which this router writes a checkpoint.
     pub(crate) checkpoint_not_before: Instant,
-    /// When a checkpoint was last written.
     pub(crate) checkpointed_at: Option<Instant>,
     pub(crate) config_stream: ConfigStream,
     pub(crate) quarantine: Quarantine,
     pub(crate) orders: Orders,
-    /// The configuration, where a platform hands it over whole.
+    /// The route table, on a platform that delivers the configuration as a whole.
     pub(crate) route_table: Option<Arc<RouteTable>>,
     pub(crate) table_watch: TableWatch,
-    /// Failure domains whose endpoints get nothing new.
+    /// Failure domains whose endpoints receive no new requests.
     pub(crate) drained_domains: DrainedDomains,
     pub(crate) cold_endpoints: ColdEndpoints,
-    /// What may be spent, where budgets are kept by grants.
+    /// Budgets granted to this router, unless the ledger accounts for them.
     pub(crate) grant_budgets: GrantBudgets,
 }
 
-/// What part of the retries that all routers may make together they take: routers that start or end are counted late.
+/// Share of the fleet's retries that the routers use: starts and stops of routers are noticed late.
 const RETRY_SHARE: f64 = 0.8;
 
-/// How long a router leaves checkpoints to others at its start, once to thrice: in a fleet that starts together all would
-/// find that there is none, and write one at once.
+/// Minimum delay before a router's first checkpoint; the actual delay is random, up to three times as long. In a fleet
+/// that starts all at once, every router would otherwise find no checkpoint and write one.
 const CHECKPOINT_DELAY: Duration = Duration::from_secs(10);
 
-/// How long after a pause requests count as stale: what lay in the sockets is read within a few turns of the loop, each of
-/// which a machine that is busy after the pause may take hundreds of milliseconds for.
+/// How long requests count as stale after the process was suspended. What was in the socket buffers is read within a
+/// few iterations of the event loop, each of which may take hundreds of milliseconds on a machine that is busy after
+/// the pause.
 const STALE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Bounds the refuse records of a router, so that under overload the proofs cost less than serving would.
+/// Limits the rate of refuse records, so that under overload refusing costs less than serving would.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefuseLimiter {
     available: f64,
     refilled_at: Option<Instant>,
 }
 
-/// Refuse records a second at one router: at 60 bytes each, a tenth of what a batch may carry.
+/// Refuse records per second of one router: at 60 bytes each, a tenth of what a batch can hold.
 const REFUSES_PER_SEC: f64 = 200.0;
 
 impl RefuseLimiter {
-    /// Takes one proof, if one is left.
+    /// Takes one record from the limit; returns whether one was left.
     pub(crate) fn try_acquire(&mut self, now: Instant) -> bool {
         let elapsed = self
             .refilled_at
@@ -244,7 +241,7 @@
 }
 
 impl Core {
-    /// Makes the core of a router that starts now; `seed` makes its random choices.
+    /// Creates the state of a router that starts now; `seed` initializes its random number generator.
     pub(crate) fn new(now: Instant, tuning: Tuning, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let me = Incarnation(rng.next_u64());
@@ -292,7 +289,7 @@
         }
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Handles one event and returns the effects to be carried out.
     pub(crate) fn handle(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
             Event::RequestArrived(arrival) => self.handle_arrival(now, *arrival),
@@ -350,39 +347,40 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns whether the log leaves this router's records without a verdict.
+    /// Returns whether the log has left a batch unacknowledged for so long that it counts as an outage.
     pub(crate) fn in_outage(&self, now: Instant) -> bool {
         self.appender
             .stalled_since()
             .is_some_and(|since| now >= since + self.tuning.outage_after)
     }
 
-    /// Returns whether new requests are taken.
+    /// Returns whether new requests are accepted.
     pub(crate) fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Returns when it must be called though nothing happens.
+    /// Returns when the core must be called next if no event arrives before.
     pub(crate) fn next_wake(&self) -> Option<Instant> {
         self.appender.wake()
     }
 
-    /// Returns the offset that follows the last record folded.
+    /// Returns the offset after the last ledger record applied.
     pub(crate) fn ledger_next(&self) -> Offset {
         self.ledger.next()
     }
 
-    /// Returns the ledger's state, for a peer.
+    /// Encodes the ledger's state for a peer.
     pub(crate) fn encode_ledger(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.ledger).expect("a ledger can be encoded")
     }
 
-    /// Returns whether what arrived at a time may have lain in a socket while the process was stopped.
+    /// Returns whether a request that arrived at this time may have been in a socket buffer while the process was
+    /// suspended.
     pub(crate) fn is_stale(&self, arrived: Instant) -> bool {
         self.stale_until.is_some_and(|until| arrived < until)
     }
 
-    /// Takes over settings that may change while the router runs: times and limits, but not what others know it by.
+    /// Applies changed time-outs and limits. The router's identity and address stay, since others know it by them.
     fn apply_tuning(&mut self, tuning: Tuning) {
         self.tuning = Tuning {
             vm: self.tuning.vm.clone(),
@@ -394,7 +392,7 @@
         self.update_retry_limit();
     }
 
-    /// Takes this router's part of the retries that all routers may make together, where the settings bound them.
+    /// Sets this router's share of the retries of all routers, where the settings limit them.
     pub(crate) fn update_retry_limit(&mut self) {
         if let Accounting::Grants(tuning) = self.tuning.accounting {
             let routers = self.members.vm_index.serving_vms().len() as f64;
@@ -404,13 +402,13 @@
         }
     }
 
-    /// Begins to refuse what lay in the sockets while the process was stopped.
+    /// Starts to refuse requests that were in the socket buffers while the process was suspended.
     fn handle_pause(&mut self, now: Instant) {
         self.stale_until = Some(now + STALE_PERIOD);
         self.members.reset_silence(now);
     }
 
-    /// Sends off what has gathered.
+    /// Sends the batch or the grant proposals that are due.
     fn flush(&mut self, now: Instant) {
         if let Accounting::Grants(_) = self.tuning.accounting {
             self.step_budgets(now);
@@ -435,7 +433,7 @@
         }
     }
 
-    /// Does what time asks for where budgets are kept by grants.
+    /// Runs the periodic tasks of a router whose budgets are granted.
     fn tick_grants(&mut self, now: Instant, tuning: GrantTuning) {
         self.expire_requests(now);
         self.leave_silent(now);
@@ -445,7 +443,7 @@
         self.continue_drain(now, tuning.min_drain);
     }
 
-    /// Does what time asks for where budgets are kept by the ledger.
+    /// Runs the periodic tasks of a router whose budgets are in the ledger.
     fn tick_ledger(&mut self, now: Instant) {
         self.catch_up(now);
         self.expire_requests(now);
--- a/src/router/effect.rs
+++ b/src/router/effect.rs
@@ -1,4 +1,4 @@
-//! What a router does.
+//! Effects that the core requests from the edge.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,132 +26,125 @@
 use crate::router::event::ReplyId;
 use crate::router::problem::Problem;
 
-/// What the core wants the edge to do.
+/// What the edge is to do.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// Refuses a request.
     Refuse(RequestId, Box<Problem>),
-    /// Answers a request with what its first run brought.
+    /// Answers a request with the recorded answer of its first run.
     Replay(RequestId, Replay),
-    /// Sends a request to an endpoint and relays the answer, all but its end.
+    /// Sends a request to an endpoint and relays the answer, except for its end.
     Run(RequestId, Box<Run>),
-    /// Lets the end of an answer go out.
+    /// Sends the end of an answer.
     FinishAnswer(RequestId),
-    /// Leaves the endpoint that runs a request and says nothing.
+    /// Drops the connection to the endpoint that runs a request, without an answer to the caller.
     Abandon(RequestId),
-    /// Ends an answer so that the caller knows that it is not whole; one that has not begun ends as this refusal.
+    /// Aborts an answer so that the caller notices that it is incomplete. If no part of it has been sent, the caller
+    /// gets this problem as the answer.
     Abort(RequestId, Box<Problem>),
     /// Appends a batch to the ledger.
     Append {
-        /// Whose batch it is.
+        /// The router that wrote the batch.
         router: Incarnation,
-        /// Its number.
         sequence: Sequence,
-        /// Its content.
         bytes: Vec<u8>,
     },
-    /// Sends a heartbeat to peers.
     SendHeartbeat(Heartbeat, Vec<Peer>),
-    /// Appends a batch that a dead router left with this one.
+    /// Appends a batch that a router, now dead, had left with this one.
     AppendKept(Vec<u8>),
-    /// Asks peers to keep batches.
+    /// Asks peers to store batches that cannot be appended.
     KeepBatches(KeptBatches, Vec<Peer>),
-    /// Sends the configuration to a peer that is behind.
+    /// Sends the configuration to a peer whose version is older.
     SendConfig(Box<Snapshot>, Peer),
-    /// Has a configuration that was handed over whole ready for peers that are behind.
+    /// Makes the route table available to peers whose version is older.
     OfferTable(Arc<RouteTable>),
-    /// Asks a peer for such a configuration.
+    /// Requests the route table from a peer.
     FetchTable(Peer),
-    /// Gets a state of the ledger to start from.
+    /// Fetches a state of the ledger to start from.
     Fetch(Vec<Peer>),
-    /// Appends a record to the configuration's stream.
+    /// Appends a record to the configuration stream.
     AppendConfig(Vec<u8>),
     /// Writes a checkpoint as of an offset, in these parts.
     Checkpoint(Offset, Vec<Vec<u8>>),
-    /// Appends grants on a condition.
+    /// Appends grants, on the condition that the proposal names.
     ProposeGrants(Proposal),
-    /// Reads grants from an offset on, or the newest of each key.
+    /// Reads grants from an offset on, or the newest record of each key.
     ReadGrants(Option<Offset>),
-    /// Tells the other routers of a long prompt; one that does not hear of it chooses a little worse.
+    /// Notifies the other routers of a long prompt. Delivery is not guaranteed; a router that misses it only chooses
+    /// endpoints less well.
     SendPromptNotice(PromptNotice, Arc<[Peer]>),
-    /// Hands budget over to another router.
+    /// Transfers budget to another router.
     TransferBudget(BudgetTransfer, Peer),
-    /// Asks another router for a loan.
+    /// Requests a loan from another router.
     RequestLoan(LoanRequest, Peer),
-    /// Gives an endpoint an order.
+    /// Sends an order to an endpoint.
     SendOrder(Order),
-    /// Asks an endpoint for its load and its cache events.
+    /// Polls an endpoint for its load and its cache events.
     Probe(VmId, String),
-    /// Answers an operator.
+    /// Answers an operator or another router.
     Answer(ReplyId, u16, Value),
-    /// Ends the process.
+    /// Exits the process.
     Exit {
-        /// Whether requests in progress, or records that no one has, are cut off by it.
+        /// Whether this cuts off requests in progress, or loses records that are stored nowhere else.
         cut: bool,
     },
 }
 
-/// Another router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
-    /// Its VM.
     pub(crate) vm: VmId,
-    /// Where it listens for routers, `ip:port`.
+    /// Address at which it listens for routers, `ip:port`.
     pub(crate) address: String,
 }
 
-/// An order to an endpoint: the condition that is wanted.
+/// An order to an endpoint: the state that it should reach.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Order {
-    /// Where the endpoint listens, `ip:port`.
+    /// Address of the endpoint, `ip:port`.
     pub(crate) address: String,
-    /// The fencing number.
+    /// Fencing token: an endpoint ignores orders with a lower one.
     pub(crate) fence: u64,
-    /// The models that are to be loaded.
+    /// Models to be loaded.
     pub(crate) models: Vec<ModelId>,
 }
 
-/// A request's way to its endpoint.
+/// A request as it is dispatched to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Run {
-    /// The endpoint.
     pub(crate) endpoint: VmId,
-    /// Where it listens, `ip:port`.
+    /// Address of the endpoint, `ip:port`.
     pub(crate) address: String,
-    /// The request's key, which endpoints see for their own records.
+    /// The request's key, passed on to the endpoint for its records.
     pub(crate) key: RequestKey,
-    /// Who pays.
+    /// The team that pays.
     pub(crate) team: TeamId,
-    /// The longest answer that was reserved, for a completion.
+    /// Maximum length of a completion, as reserved.
     pub(crate) limit: u64,
-    /// 0 (first) to 9 (last).
+    /// 0 (most urgent) to 9 (least urgent).
     pub(crate) priority: u8,
-    /// How long its claim waited for the verdict.
+    /// How long the claim waited for its verdict.
     pub(crate) claim_wait: Duration,
-    /// Whether a run whose answer breaks off may be begun again.
+    /// Whether a run whose answer breaks off may be repeated.
     pub(crate) idempotent: bool,
-    /// What a request that is passed on as it came needs besides.
+    /// Further data for a request that is relayed unchanged.
     pub(crate) relay: Option<RelayRun>,
 }
 
-/// What a run of a request that is passed on as it came needs besides.
+/// Data for a run of a request that is relayed unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RelayRun {
     /// The client account, if the request has one.
     pub(crate) account: Option<AccountId>,
-    /// When its answer must be there.
+    /// When the answer must be complete.
     pub(crate) deadline: Instant,
-    /// The most tokens that one event of its stream holds.
+    /// Maximum number of tokens in one event of the stream.
     pub(crate) stride: u64,
-    /// Whether another endpoint may go on where the answer breaks off.
+    /// Whether another endpoint can resume a broken answer.
     pub(crate) resumable: bool,
 }
 
-/// An answer that the ledger keeps.
+/// An answer recorded in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Replay {
-    /// The HTTP status.
     pub(crate) status: u16,
-    /// The body.
     pub(crate) body: Vec<u8>,
 }
--- a/src/router/event.rs
+++ b/src/router/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a router.
+//! Events that the edge passes to the core.
 
 use std::fmt;
 use std::sync::Arc;
@@ -31,171 +31,169 @@
 use crate::tokens::Tokens;
 use crate::vms::VmList;
 
-/// What the edge tells the core.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A caller's request was read whole.
+    /// A caller's request was received completely.
     RequestArrived(Box<Arrival>),
-    /// The caller is gone before its answer began.
+    /// The caller disconnected before its answer began.
     CallerGone(RequestId),
-    /// The endpoint's first token, or the head of its answer, came.
+    /// The first token of an answer, or its response header, arrived from the endpoint.
     AnswerStarted(RequestId),
-    /// A run is over; all of the answer but its end marker went to the caller.
+    /// A run ended; all of the answer except its end marker was sent to the caller.
     RunEnded(RequestId, RunEnd),
-    /// The log service answered an append to the ledger, or did not.
+    /// An append to the ledger was answered by the log service, or failed.
     Appended {
-        /// The incarnation whose batch it was.
+        /// The incarnation that wrote the batch.
         router: Incarnation,
-        /// The batch's number.
+        /// The batch's sequence number.
         sequence: Sequence,
-        /// Whether it is known to have landed.
+        /// Whether the batch is known to be in the log.
         landed: bool,
     },
-    /// Records of the ledger's stream.
+    /// Records read from the ledger stream.
     LedgerEntries(Vec<Entry>),
-    /// Records of the configuration's stream.
+    /// Records read from the configuration stream.
     ConfigEntries(Vec<Entry>),
-    /// The log has let go records of the ledger that this router did not read.
+    /// The log no longer has ledger records that this router has not read.
     LedgerTruncated,
-    /// A checkpoint that this router wrote stands whole.
+    /// A checkpoint of this router was written completely.
     CheckpointWritten {
-        /// The offset of the first record that it has not folded.
+        /// Offset of the first record that it does not include.
         as_of: Offset,
-        /// Where in its stream its first part stands.
+        /// Offset of its first part in the checkpoint stream.
         first: Offset,
     },
-    /// All that the log held when the router started has been read.
+    /// Everything that the log contained at the router's start has been read.
     CaughtUp,
-    /// A state to start from, from a checkpoint or a peer.
+    /// A state of the ledger to start from, read from a checkpoint or received from a peer.
     LedgerSnapshot(Box<Ledger>),
-    /// A configuration, from a peer.
+    /// A configuration received from a peer.
     ConfigSnapshot(Box<Snapshot>),
-    /// The VM list, as the platform shows it.
+    /// A new VM list from the platform.
     VmList(VmList),
-    /// A peer was heard, either way.
+    /// A heartbeat arrived from a peer, as a call or as the answer to one.
     HeartbeatReceived(Heartbeat),
     /// A peer did not answer a heartbeat.
     HeartbeatFailed(VmId, PeerFailure),
-    /// A peer asks this router to keep the batches that it cannot append.
+    /// A peer asks this router to store batches that it cannot append.
     KeepBatches(ReplyId, KeptBatches),
-    /// A peer keeps this router's batches up to this number.
+    /// A peer stores this router's batches up to this number.
     BatchesKept {
-        /// Who keeps it.
+        /// The peer that stores them.
         peer: VmId,
-        /// The incarnation whose batches they are.
+        /// The incarnation that wrote them.
         router: Incarnation,
-        /// The number of the last of them.
+        /// The sequence number of the last batch.
         last: Sequence,
-        /// How many records that one had.
+        /// The number of records in the last batch.
         records: usize,
     },
-    /// An endpoint was asked how it is, and answered or did not.
+    /// A health check of an endpoint passed or failed.
     HealthChecked(VmId, bool),
-    /// A peer can't keep this router's batches, for it lacks those before them.
+    /// A peer cannot store this router's batches, because it lacks earlier ones.
     BatchesRejected(VmId),
-    /// What an endpoint says of its load.
+    /// An endpoint reported its load.
     EndpointLoad(VmId, EndpointLoad),
-    /// What an endpoint says of its cache.
+    /// An endpoint reported changes of its cache.
     CacheEvents(VmId, Vec<CacheEvent>),
-    /// An operator asks for something.
+    /// An operator or a caller made a request to the router itself.
     Admin(ReplyId, AdminRequest),
-    /// Which failure domains the operator drains.
+    /// The set of drained failure domains was read.
     DrainedDomains(DrainedDomains),
-    /// Endpoints say how much longer they are cold.
+    /// Endpoints reported how much longer they are cold.
     ColdEndpoints(Vec<(VmId, Duration)>),
-    /// A whole configuration from a platform that hands it over at once.
+    /// A complete route table from the platform or a peer.
     Table(Arc<RouteTable>),
-    /// A peer that was asked for its configuration did not send it.
+    /// A peer that was asked for its route table did not send it.
     TableFetchFailed(VmId),
-    /// The platform had no newer configuration at a moment than what it has handed over.
+    /// At this time, the platform had no configuration newer than the one delivered.
     TableConfirmed(Instant),
-    /// Something happened at the log that keeps grants.
+    /// The log that stores grants answered a read or a proposal, or failed to.
     Grants(GrantEvent),
-    /// Another router asks for a loan.
+    /// Another router requests a loan.
     LoanRequested(ReplyId, LoanRequest),
-    /// Another router sent an endpoint a long prompt.
+    /// Another router sent a long prompt to an endpoint.
     PromptNotice(PromptNotice),
-    /// Another router hands over what it holds idle.
+    /// Another router transfers its unused budget to this one.
     TransferReceived(ReplyId, BudgetTransfer),
-    /// Another router has what was handed over to it, or did not answer.
+    /// Another router accepted a transfer from this one (`true`), or did not answer.
     TransferAnswered(BudgetTransfer, bool),
-    /// Another router answered a question for a loan, or did not.
+    /// Another router answered a loan request, or did not.
     LoanAnswered(LoanRequest, Option<Tokens>),
     /// The settings changed.
     SettingsChanged(Box<Tuning>),
     /// A planned stop begins.
     Drain,
-    /// The process was stopped for a while, and goes on.
+    /// The process was suspended for some time and has resumed.
     Paused,
-    /// Time has passed.
+    /// A periodic timer fired.
     Tick,
 }
 
-/// Why a peer said nothing.
+/// Why a call to a peer was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerFailure {
-    /// Its VM says that nothing listens there: the process is dead, and the VM lives.
+    /// The VM refused the connection: the process is dead and the VM is alive.
     Refused,
-    /// A connection was had, and no answer over it: the process is frozen, or what stands between is at fault.
+    /// The connection was established, but no answer came: the process hangs, or a middlebox is faulty.
     Mute,
-    /// No connection was had: the VM is dead, or the network is parted.
+    /// No connection was established: the VM is dead, or the network is partitioned.
     Unreachable,
 }
 
-/// Names an operator's question, so that its answer finds it.
+/// Identifies a pending question to the core, from an operator, a caller or a peer, so that the answer is routed to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReplyId(pub u64);
 
-/// What an operator or a caller asks of the router itself.
+/// A request to the router itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AdminRequest {
     /// Which router to use.
     Address,
-    /// All that the router knows.
+    /// The router's state.
     Status,
     /// The teams' budgets.
     Teams,
     /// The configuration in force.
     Config,
-    /// To add to a budget.
+    /// Adds to a team's budget.
     TopUp {
-        /// The top-up's name.
+        /// Identifier of the top-up, which makes it idempotent.
         id: TopUpId,
-        /// Whose budget.
         team: TeamId,
-        /// By how much.
         amount: Tokens,
     },
-    /// To stop in order.
+    /// Begins a planned stop.
     Drain,
-    /// Which routers' addresses a caller in a failure domain may use.
+    /// The addresses of the routers that a caller in a failure domain may use.
     Directory(DomainId),
 }
 
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Arrival {
-    /// Its name in this router.
+    /// Its identifier in this router.
     pub(crate) id: RequestId,
-    /// The bearer key that came with it.
+    /// The bearer key that was sent with it.
     pub(crate) bearer: Secret,
-    /// The caller's key for it; without one it is this request alone, and ends with its connection.
+    /// The caller's idempotency key. Without one, the request cannot be retried and ends with its connection.
     pub(crate) key: Option<IdempotencyKey>,
-    /// The caller's count of its tries.
+    /// Attempt number, as counted by the caller.
     pub(crate) attempt: Attempt,
-    /// The labels that the caller attached.
+    /// Labels set by the caller.
     pub(crate) labels: Labels,
-    /// What is asked.
+    /// The requested operation.
     pub(crate) work: Work,
-    /// A fingerprint of it.
+    /// Fingerprint of the request's content.
     pub(crate) request: Fingerprint,
-    /// How long the caller waits.
+    /// Time for which the caller waits, if it sets a limit.
     pub(crate) patience: Option<Duration>,
-    /// The caller's wish, 0 (first) to 9 (last); it can only fall behind the rule's.
+    /// Priority requested by the caller, 0 (most urgent) to 9 (least urgent); it can lower the priority that the rule
+    /// sets, but not raise it.
     pub(crate) priority: Option<u8>,
 }
 
-/// A bearer key, which no log line may show.
+/// A bearer key, which must not appear in log lines.
 #[derive(Clone, PartialEq, Eq)]
 pub(crate) struct Secret(pub String);
 
@@ -205,81 +203,76 @@
     }
 }
 
-/// What is asked.
+/// The operation that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Work {
-    /// A completion.
+    /// A completion by a model.
     Completion {
-        /// By which model.
         model: ModelId,
-        /// The prompt's length, which bounds its tokens: none is shorter than a byte.
+        /// The prompt's length in bytes, an upper bound of its tokens, since no token is shorter than a byte.
         prompt: u64,
-        /// The longest answer that is wanted.
+        /// Maximum length of the answer, if the caller sets one.
         limit: Option<Tokens>,
-        /// The prompt's prefix, as block hashes.
+        /// Block hashes of the prompt's prefix.
         blocks: Vec<u64>,
     },
-    /// A plain service's call.
+    /// A call of a service that is not a model.
     Call {
-        /// Which service.
+        /// Name of the service.
         service: String,
         /// The HTTP method.
         method: String,
     },
-    /// A request that is passed on as it came.
+    /// A request that is relayed unchanged.
     Relay(Relay),
 }
 
-/// What the router needs to know of a request that is passed on as it came.
+/// What the router needs to know of a request that is relayed unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Relay {
-    /// The host that was asked.
+    /// The host that the request names.
     pub(crate) host: String,
     /// The path, without its query.
     pub(crate) path: String,
-    /// The tokens of its prompt; none for a plain service.
+    /// Number of tokens in the prompt; 0 for a service that is not a model.
     pub(crate) input: Tokens,
-    /// The most tokens that its answer may have.
+    /// Maximum number of tokens in the answer.
     pub(crate) output: Tokens,
-    /// Its prompt, if it has one.
+    /// The prompt, if there is one.
     pub(crate) prompt: Option<Prompt>,
 }
 
-/// What happens at the log that keeps grants.
+/// Results from the log that stores grants.
 #[derive(Clone, Debug)]
 pub(crate) enum GrantEvent {
-    /// Records were read: all that follow what was asked for, up to an end.
+    /// A read returned all records from the requested offset up to an end.
     Read {
-        /// The records.
         rows: Vec<(Offset, GrantKey, GrantRow)>,
-        /// The offset that follows the last one.
+        /// The offset after the last record.
         end: Offset,
     },
-    /// The log no longer has the records that were asked for.
+    /// The log no longer has the requested records.
     Gone,
-    /// A read was not answered.
+    /// A read failed.
     ReadFailed,
-    /// A proposal stands.
+    /// A proposal was appended.
     Landed(Offset),
-    /// The partition does not end where the proposal says.
+    /// A proposal was rejected: the partition does not end at the offset that it expects.
     Moved,
-    /// The log did nothing about a proposal.
+    /// The log did not carry out a proposal.
     Refused(Offset),
-    /// Nobody knows what became of a proposal.
+    /// It is unknown whether a proposal was appended.
     Lost(Offset),
 }
 
-/// What a run used.
+/// Tokens used by a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Usage {
-    /// Tokens of the prompt.
     pub(crate) prompt: Tokens,
-    /// Tokens of the answer.
     pub(crate) answer: Tokens,
 }
 
 impl Usage {
-    /// Returns all that was used.
     pub(crate) fn total(self) -> Tokens {
         self.prompt.saturating_add(self.answer)
     }
@@ -288,43 +281,42 @@
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RunEnd {
-    /// The endpoint gave the whole answer of a completion.
+    /// The endpoint returned a complete answer to a completion.
     Completed {
-        /// What it says that it used.
+        /// Tokens used, as reported by the endpoint.
         usage: Usage,
     },
     /// The endpoint answered a call.
     Answered {
-        /// The HTTP status.
         status: u16,
-        /// The body, where it is short.
+        /// The body, if it is short enough to be recorded.
         body: Option<Vec<u8>>,
     },
-    /// The endpoint refused the request or could not be reached; it did not run.
+    /// The request did not run: the endpoint refused it or could not be reached.
     NotRun {
-        /// How long the endpoint asks to be left alone, if it does.
+        /// How long the endpoint asks not to be used, if it does.
         retry: Option<Duration>,
     },
-    /// Nobody sent the request: its caller was gone when it was dispatched.
+    /// The request was not sent, because its caller had disconnected before it was dispatched.
     Unsent,
-    /// The endpoint failed after it had the request.
+    /// The endpoint failed after it had received the request.
     Failed {
-        /// What is known to have been used; nothing where nobody knows.
+        /// Tokens known to have been used, if any are.
         usage: Option<Usage>,
-        /// Whether the caller has a part of the answer already, so that it cannot begin again.
+        /// Whether the caller has received part of the answer, so that it cannot start again.
         begun: bool,
         /// Whether the endpoint was found dead.
         died: bool,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone {
-        /// What is known to have been used; nothing where nobody knows.
+        /// Tokens known to have been used, if any are.
         usage: Option<Usage>,
     },
 }
 
 impl RunEnd {
-    /// Returns its name, for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::Completed { .. } => "whole",
@@ -340,86 +332,80 @@
 /// A record of the log service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
-    /// Its place in its stream.
+    /// Its offset in its stream.
     pub(crate) offset: Offset,
-    /// When it was appended, milliseconds of the log service's clock.
+    /// When it was appended, in milliseconds of the log service's clock.
     pub(crate) at: u64,
-    /// Its content.
     pub(crate) data: Vec<u8>,
 }
 
-/// What routers tell each other all the time.
+/// State that routers exchange periodically.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Heartbeat {
-    /// The VM of the router that says so.
+    /// The sender's VM.
     pub(crate) vm: VmId,
-    /// Its incarnation.
     pub(crate) router: Incarnation,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub(crate) serving: bool,
-    /// Requests in progress, in thousandths of what it can take.
+    /// Its utilization, in thousandths of the maximum number of requests.
     pub(crate) load: u32,
-    /// The offset that follows its configuration, so that one that is behind asks for it.
+    /// Offset after its configuration; a router with a lower one is sent the newer configuration.
     pub(crate) config: Offset,
-    /// The version of its configuration, where a platform hands it over whole; 0 before that.
+    /// Version of its route table, on a platform that delivers the configuration as a whole; 0 before the first.
     pub(crate) table: TableVersion,
-    /// Which failure domains are drained, as far as it knows.
+    /// The drained failure domains that it knows of.
     pub(crate) drained: DrainedDomains,
-    /// What time of day it is there, since the Unix epoch, by a clock that is not set while the process runs.
+    /// Its wall-clock time since the Unix epoch, from a clock that is not adjusted while the process runs.
     pub(crate) clock: Duration,
-    /// Its budgets, where they are kept by grants.
+    /// Its budgets, if they are granted.
     pub(crate) purses: Vec<TeamBudget>,
 }
 
-/// What a router says of one team's budget.
+/// One team's budget at a router.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct TeamBudget {
-    /// The team.
     pub(crate) team: TeamId,
-    /// What lies idle there.
+    /// Unused budget.
     pub(crate) free: Tokens,
-    /// How fast it is asked for there, in tokens a second.
+    /// Demand, in tokens per second.
     pub(crate) demand: u64,
 }
 
-/// A prompt that a router sent to an endpoint.
+/// Notice of a long prompt that a router sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct PromptNotice {
-    /// The endpoint.
     pub(crate) endpoint: VmId,
-    /// Names the parts that other requests share.
+    /// Identifies the part of the prompt that other requests share.
     pub(crate) shared: u64,
-    /// How many of its tokens the endpoint has to read.
+    /// Number of its tokens that the endpoint has to process.
     pub(crate) tokens: u64,
 }
 
-/// Budget that a router hands over because it stops.
+/// Budget that a router transfers to another one because it stops.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct BudgetTransfer {
-    /// The lifetime that stops.
+    /// The incarnation that stops.
     pub(crate) giver: Incarnation,
-    /// The gift's number there, by which it counts once.
+    /// Sequence number at that incarnation, by which a repeated transfer counts once.
     pub(crate) number: u64,
-    /// Whose budget.
     pub(crate) team: TeamId,
-    /// How much.
     pub(crate) amount: Tokens,
 }
 
-/// A question for a loan.
+/// A request for a loan.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct LoanRequest {
-    /// The lifetime that asks.
+    /// The incarnation that requests it.
     pub(crate) borrower: Incarnation,
-    /// The question's number there, by which it counts once.
+    /// Sequence number at that incarnation, by which a repeated request counts once.
     pub(crate) number: u64,
-    /// Whose budget.
     pub(crate) team: TeamId,
-    /// How much would help.
+    /// The amount that the waiting requests need.
     pub(crate) amount: Tokens,
-    /// All that the borrower's own callers have asked for so far: what its lenders take for demand, however often it asks.
+    /// Total that the borrower's own callers have requested so far. Lenders derive its demand from this total, however
+    /// often it asks.
     pub(crate) asked: Tokens,
-    /// How urgent the most urgent request is that needs it, 0 being first.
+    /// Priority of the most urgent request that needs the loan; 0 is the most urgent.
     pub(crate) priority: u8,
 }
 
@@ -428,36 +414,36 @@
 pub(crate) struct KeptBatches {
     /// The incarnation that wrote them.
     pub(crate) router: Incarnation,
-    /// The number of the batch that they follow; 0 where all are here. The keeper has what lies before, or can't keep
-    /// them.
+    /// Sequence number of the batch before the first of these; 0 if these are all. A peer that lacks the earlier
+    /// batches cannot store these.
     pub(crate) after: Sequence,
-    /// The number of the last of them.
+    /// Sequence number of the last batch.
     pub(crate) last: Sequence,
-    /// How many records the last one has by now; it may still grow.
+    /// Number of records in the last batch so far; more may be added to it.
     pub(crate) records: usize,
-    /// Each as it is to be appended, in order.
+    /// The batches in order, each encoded as it is to be appended.
     pub(crate) batches: Vec<Vec<u8>>,
 }
 
 impl KeptBatches {
-    /// Returns the batches up to a number.
+    /// Returns the batches up to a sequence number.
     pub(crate) fn up_to(&self, number: Sequence) -> &[Vec<u8>] {
         let beyond = usize::try_from(self.last.0.saturating_sub(number.0)).unwrap_or(usize::MAX);
         &self.batches[..self.batches.len().saturating_sub(beyond)]
     }
 }
 
-/// What an endpoint says of its load, some time ago.
+/// Load reported by an endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct EndpointLoad {
-    /// How long ago it was measured.
+    /// Time since it was measured.
     pub(crate) age: Duration,
-    /// Requests that run.
+    /// Number of running requests.
     pub(crate) running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(crate) waiting: u32,
-    /// How much of its KV cache is in use, 0 to 1.
+    /// Fraction of the KV cache that is in use, 0 to 1.
     pub(crate) kv_used: f64,
-    /// Models that it has loaded.
+    /// Models that are loaded.
     pub(crate) models: Vec<ModelId>,
 }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -1,4 +1,4 @@
-//! The other routers: who is there, who is silent, and where callers are sent.
+//! The other routers: their heartbeats and failures, the batches they left here, and the addresses advised to callers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,50 +26,49 @@
 use crate::vms::VmList;
 use crate::vms::VmState;
 
-/// How many heartbeats in a row must find that nothing listens: one may meet a router that restarts.
+/// Connection refusals in a row after which a router counts as dead; a single one may be a restart.
 const MIN_REFUSALS: u32 = 2;
 
-/// How old word from the log or from a peer may be to count as fresh.
+/// Age up to which an answer of the log or a heartbeat counts as fresh.
 pub(crate) const FRESH_PERIOD: Duration = Duration::from_secs(3);
 
-/// How many peers hear from a router at each heartbeat. A fleet of up to thirteen hears from all at once; in a larger one the
-/// peers take turns, so that what heartbeats cost a VM does not grow with the fleet. With 64 VMs of a tenth of a core, all
-/// at once were 250 calls a second at each.
+/// Number of peers that get each heartbeat. In a fleet of up to thirteen routers all peers get every one; in a larger
+/// fleet they take turns, so that the cost of heartbeats at each VM does not grow with the fleet. With 64 VMs of a
+/// tenth of a core each, heartbeats to all peers were 250 calls a second at every VM.
 const HEARTBEAT_FANOUT: usize = 12;
 
-/// How many rounds of heartbeats a peer's word counts as fresh: one of its calls may be lost, and ours bring its word too.
+/// Number of rounds for which a heartbeat counts as fresh: one call may be lost, and answers to our own heartbeats
+/// carry the peer's as well.
 const FRESH_ROUNDS: u32 = 2;
 
-/// How often a router that some peer cannot hear shows itself in the log.
+/// Interval between the empty batches that a router appends while some peer cannot reach it.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A peer's silence.
+/// Consecutive failures of one kind to reach a peer.
 #[derive(Clone, Copy, Debug)]
 struct FailureStreak {
-    /// When it last did not answer.
+    /// Time of the last failure.
     at: Instant,
-    /// In what way.
     failure: PeerFailure,
-    /// How often in a row in this way.
     count: u32,
 }
 
-/// What a router knows of the others.
+/// What a router knows of the other routers.
 #[derive(Debug)]
 pub(crate) struct Members {
     pub(crate) vm_index: VmIndex,
     heartbeats: IndexMap<VmId, (Instant, Heartbeat)>,
     failures: IndexMap<VmId, FailureStreak>,
-    /// When each incarnation last gave a sign of life.
+    /// Time of the last heartbeat or batch of each incarnation.
     pub(crate) last_seen: IndexMap<Incarnation, Instant>,
     pub(crate) kept_batches: IndexMap<Incarnation, KeptBatches>,
     pub(crate) closing: IndexMap<Incarnation, Closing>,
     config_sent: IndexMap<VmId, Instant>,
     pub(crate) log_answered_at: Instant,
     heartbeat_sent: Option<Instant>,
-    /// Whose turn to hear from this router is next.
+    /// Position in the peer list at which the next round of heartbeats starts.
     next_peer: usize,
-    /// How old a peer's word, or its silence, may be and count.
+    /// Age up to which a heartbeat or a failure of a peer counts.
     fresh_period: Duration,
     keep_alive_sent: Instant,
 }
@@ -92,15 +91,15 @@
         }
     }
 
-    /// Counts all silence from now on.
+    /// Restarts the silence of every router from now.
     ///
-    /// While this router could not read the log, others may have shown themselves there; closing them for a silence
-    /// that was its own would take down the living.
+    /// While this router could not read the log, others may have appended to it; closing them for a silence that was
+    /// due to this router's own outage would take down live routers.
     pub(crate) fn reset_silence(&mut self, now: Instant) {
         self.last_seen.values_mut().for_each(|at| *at = now);
     }
 
-    /// Notes that the log answered.
+    /// Records that the log answered.
     pub(crate) fn log_answered(&mut self, now: Instant) {
         if now >= self.log_answered_at + FRESH_PERIOD {
             self.reset_silence(now);
@@ -108,12 +107,12 @@
         self.log_answered_at = now;
     }
 
-    /// Notes a batch of a router in the log.
+    /// Records that a router's batch was read from the log.
     pub(crate) fn batch_appended(&mut self, now: Instant, router: Incarnation) {
         self.last_seen.insert(router, now);
     }
 
-    /// Notes that a peer did not answer.
+    /// Records that a peer did not answer.
     pub(crate) fn record_failure(&mut self, now: Instant, vm: VmId, failure: PeerFailure) {
         let row = self.failures.get(&vm).filter(|f| f.failure == failure);
         let count = row.map_or(0, |f| f.count) + 1;
@@ -125,7 +124,8 @@
         self.failures.insert(vm, failures);
     }
 
-    /// Returns in what way a peer is silent, if it is; one refusal may have met a router that restarts.
+    /// Returns how a peer currently fails to answer, if it does. A single refused connection counts as `Mute`, since
+    /// the router may be restarting.
     pub(crate) fn peer_failure(&self, now: Instant, vm: &VmId) -> Option<PeerFailure> {
         let failures = self
             .failures
@@ -137,14 +137,14 @@
         }
     }
 
-    /// Returns whether a peer was heard of late.
+    /// Returns whether a fresh heartbeat of a peer is known.
     pub(crate) fn heard_recently(&self, now: Instant, vm: &VmId) -> bool {
         self.heartbeats
             .get(vm)
             .is_some_and(|(at, _)| now < *at + self.fresh_period)
     }
 
-    /// Returns whether another incarnation runs on a router's VM, so that it is dead.
+    /// Returns whether a fresh heartbeat shows another incarnation on a router's VM, which means that this one is dead.
     pub(crate) fn is_replaced(&self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
         let heard = self
             .heartbeats
@@ -153,10 +153,10 @@
         heard.is_some_and(|(_, beat)| beat.router != router)
     }
 
-    /// Keeps a peer's batches behind those that it left here before; returns whether it could.
+    /// Stores a peer's batches after those that it left here before; returns whether that was possible.
     ///
-    /// `folded` is the number of the last one that the log has. With a gap behind that, or behind what is kept, no batch
-    /// after the gap would count when the peer is dead.
+    /// `folded` is the number of the peer's last batch in the log. If there were a gap after that, or after the batches
+    /// stored here, no batch behind the gap would count once the peer is dead.
     pub(crate) fn keep_batches(&mut self, new: KeptBatches, folded: Sequence) -> bool {
         let old = self.kept_batches.get(&new.router);
         if old.is_some_and(|old| (old.last, old.records) > (new.last, new.records)) {
@@ -177,7 +177,7 @@
         true
     }
 
-    /// Returns whether a batch that is kept here claims a request.
+    /// Returns whether a batch stored here claims a request.
     pub(crate) fn keeps_claim(&self, key: &RequestKey) -> bool {
         let batches = self.kept_batches.values().flat_map(|kept| &kept.batches);
         let mut records = batches
@@ -186,25 +186,23 @@
         records.any(|record| matches!(record, Record::Claim(claim) if claim.key == *key))
     }
 
-    /// Returns how many routers' batches are kept here.
+    /// Returns the number of routers whose batches are stored here.
     pub(crate) fn kept_count(&self) -> usize {
         self.kept_batches.len()
     }
 
-    /// Returns the failure domain of a VM.
     pub(crate) fn domain(&self, vm: &VmId) -> Option<&DomainId> {
         self.vm_index.entry(vm).map(|entry| &entry.domain)
     }
 
-    /// Returns whether the VM list shows a VM as live.
     pub(crate) fn is_listed(&self, vm: &VmId) -> bool {
         self.vm_index
             .entry(vm)
             .is_some_and(|e| e.state == VmState::Live)
     }
 
-    /// Returns the peers whose turn it is to hear from this router: all of them the first time, so that a router that
-    /// starts is known at once.
+    /// Returns the peers that get the next heartbeat. The first one goes to all of them, so that a router that starts
+    /// is known at once.
     fn next_recipients(&mut self, heartbeat: Duration) -> Vec<Peer> {
         let peers = self.vm_index.peers();
         let rounds = peers.len().div_ceil(HEARTBEAT_FANOUT);
@@ -219,7 +217,8 @@
         round.take(HEARTBEAT_FANOUT).cloned().collect()
     }
 
-    /// Returns the routers heard of lately that take requests and stay.
+    /// Returns the routers with a fresh heartbeat that accept requests. Those that the VM list shows as leaving are
+    /// marked.
     pub(crate) fn advisable_peers(&self, now: Instant) -> Vec<decide::Peer> {
         self.heartbeats
             .values()
@@ -237,7 +236,7 @@
             .collect()
     }
 
-    /// Returns the routers heard of lately, and what they said of their budgets.
+    /// Returns the budget reports in the fresh heartbeats of peers.
     pub(crate) fn budget_reports(&self, now: Instant) -> Vec<BudgetReport> {
         let fresh = |vm: &VmId| {
             let (at, beat) = self.heartbeats.get(vm)?;
@@ -253,7 +252,7 @@
         words.collect()
     }
 
-    /// Returns whether some peer of the list did not answer of late.
+    /// Returns whether a peer in the VM list failed to answer recently.
     fn any_failing(&self, now: Instant) -> bool {
         self.failures.iter().any(|(vm, failures)| {
             now < failures.at + self.fresh_period && self.vm_index.entry(vm).is_some()
@@ -262,7 +261,7 @@
 }
 
 impl Core {
-    /// Takes in the VM list.
+    /// Applies a new VM list.
     pub(crate) fn handle_vm_list(&mut self, now: Instant, list: VmList) {
         if !self.members.vm_index.update(list) {
             return;
@@ -275,14 +274,14 @@
         }
     }
 
-    /// Takes over who keeps budgets, from the routers of the VM list.
+    /// Updates which routers own budgets, from the VM list.
     fn update_routers(&mut self) {
         let vm_index = &self.members.vm_index;
         self.grant_budgets
             .take_routers(&self.tuning.vm, vm_index.candidates(), &vm_index.peers());
     }
 
-    /// Takes in a peer's word.
+    /// Applies a peer's heartbeat.
     pub(crate) fn handle_heartbeat(&mut self, now: Instant, beat: Heartbeat) {
         self.members.last_seen.insert(beat.router, now);
         self.members.failures.swap_remove(&beat.vm);
@@ -296,7 +295,7 @@
         }
     }
 
-    /// Sends the configuration to a peer that is behind, as one that cannot read the log is.
+    /// Sends the configuration to a peer that has an older one, as a peer that cannot read the log does.
     fn send_config(&mut self, now: Instant, beat: &Heartbeat) {
         let recent = self
             .members
@@ -314,7 +313,7 @@
         self.effects.push(Effect::SendConfig(snapshot, peer));
     }
 
-    /// Returns this router's own word.
+    /// Returns this router's current heartbeat.
     pub(crate) fn heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
             vm: self.tuning.vm.clone(),
@@ -332,14 +331,14 @@
         }
     }
 
-    /// Returns how full this router is, in thousandths: what runs and waits against what may.
+    /// Returns the utilization of this router in thousandths: requests in progress and queued, relative to the maximum.
     fn load(&self) -> u32 {
         let most = self.tuning.queue_limit.max(1);
         let part = self.requests.len() * 1000 / most;
         u32::try_from(part.min(1000)).unwrap_or(1000)
     }
 
-    /// Tells peers that this router lives, and shows itself in the log where one of them can't hear it.
+    /// Sends heartbeats to peers, and appends an empty batch to the log if some peer cannot be reached.
     pub(crate) fn send_heartbeat(&mut self, now: Instant) {
         let due = self
             .members
@@ -350,13 +349,14 @@
         }
         let peers = match self.tuning.accounting {
             Accounting::Grants(_) => self.members.next_recipients(self.tuning.heartbeat_interval),
-            // A router that is not heard for seconds may be closed there.
+            // With a ledger, a router may be closed by a peer after seconds without a heartbeat, so no peer is left
+            // out.
             Accounting::Ledger => self.members.vm_index.peers().to_vec(),
         };
         self.members.heartbeat_sent = Some(now);
         self.effects
             .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
-        // A router parted from its peers, but not from the log, would be closed for its silence.
+        // A router that is partitioned from its peers, but not from the log, would otherwise be closed for its silence.
         if let Accounting::Grants(_) = self.tuning.accounting {
             return;
         }
@@ -367,7 +367,7 @@
         }
     }
 
-    /// Returns where a caller may go instead of here.
+    /// Returns the address of another router for a caller that cannot be served here.
     pub(crate) fn alternate_address(&mut self) -> Option<String> {
         let now = self
             .members
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,5 +1,5 @@
-//! The router's core: plain values that take events and a time and return effects. Sockets, files and timers stand
-//! round it, in the module `edge`.
+//! The core of a router: a state machine without input or output, which maps events and the current time to effects.
+//! The module `edge` provides sockets, files and timers.
 
 mod admin;
 mod appender;
--- a/src/router/vm_index.rs
+++ b/src/router/vm_index.rs
@@ -1,7 +1,7 @@
-//! The VM list, laid out for what is looked up in it at each request and heartbeat.
+//! The VM list, indexed for the lookups that each request and heartbeat makes.
 //!
-//! Walked from its beginning at each look-up, a list of three hundred VMs took a fifth of a router's processor: for each long
-//! prompt all other routers were gathered from it, and for each answer to a caller every router's entry was searched.
+//! Linear searches in a list of three hundred VMs took a fifth of a router's CPU time: each long prompt collected all
+//! other routers from the list, and each answer to a caller searched the entry of every router.
 
 use std::hash::BuildHasherDefault;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 use crate::vms::VmList;
 use crate::vms::VmState;
 
-/// The label that tells routers in the VM list.
+/// Label that marks the routers in the VM list.
 const ROLE_LABEL: &str = "role";
 
-/// The label that tells where a router listens for routers.
+/// Label with the address at which a router listens for other routers.
 const PEER_LABEL: &str = "peer";
 
-/// The label that tells how much processor a router's VM has, in thousandths of a core.
+/// Label with the CPU share of a router's VM, in thousandths of a core.
 pub(crate) const CPU_LABEL: &str = "cpu";
 
-/// The label that tells how fast its link is, in Mbit/s.
+/// Label with the bandwidth of its network link, in Mbit/s.
 pub(crate) const LINK_LABEL: &str = "link";
 
-/// What a VM that does not tell its size is thought to have.
+/// Capacity assumed for a VM that reports none.
 const DEFAULT_CAPACITY: Capacity = Capacity { cpu: 1, link: 1 };
 
-/// The VM list as one router sees it.
+/// The VM list and indexes on it, as one router sees them.
 #[derive(Debug)]
 pub(crate) struct VmIndex {
     me: VmId,
@@ -43,7 +43,7 @@
 }
 
 impl VmIndex {
-    /// Makes an empty one, for the router on this VM.
+    /// Creates an empty index for the router on this VM.
     pub(crate) fn new(me: VmId) -> Self {
         Self {
             serving_vms: Arc::new([me.clone()]),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes a list over, unless it is older than the one known; returns whether it was taken.
+    /// Replaces the list unless the new one is older; returns whether it was replaced.
     pub(crate) fn update(&mut self, list: VmList) -> bool {
         if list.as_of < self.list.as_of {
             return false;
@@ -75,22 +75,20 @@
         true
     }
 
-    /// Returns the list.
     pub(crate) fn list(&self) -> &VmList {
         &self.list
     }
 
-    /// Returns a VM's entry.
     pub(crate) fn entry(&self, vm: &VmId) -> Option<&VmEntry> {
         self.list.vms.get(*self.positions.get(vm)?)
     }
 
-    /// Returns what a router's VM can carry, as it says.
+    /// Returns the capacity of a router's VM according to its labels.
     pub(crate) fn capacity(&self, vm: &VmId) -> Capacity {
         self.entry(vm).map_or(DEFAULT_CAPACITY, capacity)
     }
 
-    /// Returns all routers that are listed as live, this one among them once it is.
+    /// Returns all routers that are listed as live, including this one once it is listed.
     pub(crate) fn candidates(&self) -> Vec<Candidate> {
         let live = |entry: &&VmEntry| is_router(entry) && entry.state == VmState::Live;
         let live = self.list.vms.iter().filter(live);
@@ -102,17 +100,17 @@
         candidates.collect()
     }
 
-    /// Returns how to reach all other routers.
+    /// Returns the addresses of all other routers.
     pub(crate) fn peers(&self) -> Arc<[Peer]> {
         self.peers.clone()
     }
 
-    /// Returns how to reach one of them.
+    /// Returns the address of one other router.
     pub(crate) fn peer(&self, vm: &VmId) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.vm == *vm)
     }
 
-    /// Returns the VMs of all other routers that are listed as live, and this one's.
+    /// Returns the VMs of all other routers that are listed as live, and this router's own.
     pub(crate) fn serving_vms(&self) -> Arc<[VmId]> {
         self.serving_vms.clone()
     }
