--- a/src/edge/engine.rs
+++ b/src/edge/engine.rs
@@ -87,18 +87,22 @@
 pub(crate) fn broken() -> RunEnd {
     RunEnd::Failed {
         usage: None,
-        begun: false,
-        died: false,
+        answer_begun: false,
+        endpoint_died: false,
     }
 }
 
 /// Notes in the end of a broken run whether its endpoint died.
 pub(crate) async fn examined(desk: &Desk, run: &Run, end: RunEnd) -> RunEnd {
     match end {
-        RunEnd::Failed { usage, begun, .. } => RunEnd::Failed {
+        RunEnd::Failed {
             usage,
-            begun,
-            died: is_dead(desk, &run.address).await,
+            answer_begun,
+            ..
+        } => RunEnd::Failed {
+            usage,
+            answer_begun,
+            endpoint_died: is_dead(desk, &run.address).await,
         },
         end => end,
     }
@@ -116,8 +120,8 @@
         400..=499 | 503 => RunEnd::NotRun { retry },
         _ => RunEnd::Failed {
             usage: Some(Usage::default()),
-            begun: false,
-            died: false,
+            answer_begun: false,
+            endpoint_died: false,
         },
     }
 }
--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -100,7 +100,7 @@
     }
 
     /// Makes the event of a request with this head.
-    pub(crate) fn arrival(self, id: RequestId, work: Work, request: Fingerprint) -> Event {
+    pub(crate) fn arrival(self, id: RequestId, work: Work, fingerprint: Fingerprint) -> Event {
         Event::RequestArrived(Box::new(Arrival {
             id,
             bearer: self.bearer,
@@ -108,8 +108,8 @@
             attempt: self.attempt,
             labels: self.labels,
             work,
-            request,
-            patience: self.patience,
+            fingerprint,
+            timeout: self.patience,
             priority: self.priority,
         }))
     }
--- a/src/edge/pump.rs
+++ b/src/edge/pump.rs
@@ -182,8 +182,8 @@
         let end = match broken {
             true => RunEnd::Failed {
                 usage,
-                begun: true,
-                died: engine::is_dead(&self.line.desk, &self.run.address).await,
+                answer_begun: true,
+                endpoint_died: engine::is_dead(&self.line.desk, &self.run.address).await,
             },
             false => RunEnd::CallerGone { usage },
         };
--- a/src/edge/relay/serve.rs
+++ b/src/edge/relay/serve.rs
@@ -218,11 +218,11 @@
 }
 
 /// Returns the end of a run that broke off, of which so much went to the caller.
-pub(crate) fn broken(usage: Option<Usage>, begun: bool) -> RunEnd {
+pub(crate) fn broken(usage: Option<Usage>, answer_begun: bool) -> RunEnd {
     RunEnd::Failed {
         usage,
-        begun,
-        died: false,
+        answer_begun,
+        endpoint_died: false,
     }
 }
 
@@ -254,9 +254,9 @@
         key: None,
         attempt: Attempt(1),
         labels: Labels::default(),
-        request: fingerprint(&ask, &body),
+        fingerprint: fingerprint(&ask, &body),
         work: Work::Relay(ask.relay.clone()),
-        patience: ask.patience,
+        timeout: ask.patience,
         priority: None,
     };
     relays.desk.tell(Event::RequestArrived(Box::new(arrival)));
--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -183,7 +183,7 @@
             .map_or(Bearer::Team, |team| team.bearer);
         let priority = arrival.priority.unwrap_or(0).max(route.priority).min(9);
         let patience = arrival
-            .patience
+            .timeout
             .unwrap_or(self.tuning.default_deadline)
             .min(self.tuning.default_deadline);
         Ok(Request {
@@ -192,7 +192,7 @@
                 key: key.clone(),
             },
             attempt: arrival.attempt,
-            fingerprint: arrival.request,
+            fingerprint: arrival.fingerprint,
             seen: self.last_applied(),
             team: route.team,
             pool: route.pool,
--- a/src/router/event.rs
+++ b/src/router/event.rs
@@ -185,9 +185,9 @@
     /// The requested operation.
     pub(crate) work: Work,
     /// Fingerprint of the request's content.
-    pub(crate) request: Fingerprint,
+    pub(crate) fingerprint: Fingerprint,
     /// Time for which the caller waits, if it sets a limit.
-    pub(crate) patience: Option<Duration>,
+    pub(crate) timeout: Option<Duration>,
     /// Priority requested by the caller, 0 (most urgent) to 9 (least urgent); it can lower the priority that the rule
     /// sets, but not raise it.
     pub(crate) priority: Option<u8>,
@@ -304,9 +304,9 @@
         /// Tokens known to have been used, if any are.
         usage: Option<Usage>,
         /// Whether the caller has received part of the answer, so that it cannot start again.
-        begun: bool,
+        answer_begun: bool,
         /// Whether the endpoint was found dead.
-        died: bool,
+        endpoint_died: bool,
     },
     /// The caller disconnected.
     CallerGone {
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -307,7 +307,10 @@
             RunEnd::Completed { .. } | RunEnd::Answered { .. } => {
                 self.quarantine.complete(fingerprint, &endpoint);
             }
-            RunEnd::Failed { died: true, .. } => self.endpoint_died(now, &endpoint),
+            RunEnd::Failed {
+                endpoint_died: true,
+                ..
+            } => self.endpoint_died(now, &endpoint),
             _ => self.quarantine.end(fingerprint, &endpoint),
         }
         let request = &self.requests[&id];
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -70,7 +70,7 @@
         let pool = self.draw_pool(route);
         let stride = table.pool(&pool).map_or(1, |pool| pool.stride);
         let wait = arrival
-            .patience
+            .timeout
             .unwrap_or(self.tuning.default_deadline)
             .min(route.timeout);
         if !self.takes_until(now, now + wait) {
@@ -83,7 +83,7 @@
                 key: own_key(arrival.id),
             },
             attempt: arrival.attempt,
-            fingerprint: arrival.request,
+            fingerprint: arrival.fingerprint,
             seen: self.last_applied(),
             team,
             pool,
@@ -173,10 +173,10 @@
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.with_retry(retry.unwrap_or(FAILED_RETRY)));
             }
-            RunEnd::Failed { begun, .. } => {
+            RunEnd::Failed { answer_begun, .. } => {
                 let again = match repeat {
                     Repeat::Never => false,
-                    Repeat::Whole => !begun,
+                    Repeat::Whole => !answer_begun,
                     Repeat::Resume => true,
                 };
                 if again && self.relay_elsewhere(now, id) {
@@ -282,9 +282,13 @@
         let given = match end {
             RunEnd::NotRun { .. } | RunEnd::Unsent => return,
             RunEnd::Completed { usage } => Some(usage.answer),
-            RunEnd::Failed { usage, begun, .. } => usage
+            RunEnd::Failed {
+                usage,
+                answer_begun,
+                ..
+            } => usage
                 .map(|usage| usage.answer)
-                .or(begun.then_some(Tokens::ZERO)),
+                .or(answer_begun.then_some(Tokens::ZERO)),
             RunEnd::CallerGone { usage } => usage.map(|usage| usage.answer),
             // Such an answer does not tell how many tokens it has.
             RunEnd::Answered { status, .. } => is_success(*status).then_some(limit),
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -109,7 +109,11 @@
                 self.bill(id, price, outcome, AnswerEnd::Withheld);
             }
             RunEnd::NotRun { retry } => self.not_run(now, id, retry),
-            RunEnd::Failed { usage, begun, .. } => self.broken(now, id, usage, begun),
+            RunEnd::Failed {
+                usage,
+                answer_begun,
+                ..
+            } => self.broken(now, id, usage, answer_begun),
             RunEnd::CallerGone { usage } => self.caller_gone(id, usage),
             RunEnd::Unsent => self.unsent(now, id),
         }
@@ -208,7 +212,7 @@
     }
 
     /// Takes a run whose endpoint failed after it had the request.
-    fn broken(&mut self, now: Instant, id: RequestId, usage: Option<Usage>, begun: bool) {
+    fn broken(&mut self, now: Instant, id: RequestId, usage: Option<Usage>, answer_begun: bool) {
         let request = &mut self.requests[&id];
         let used = usage.map_or(request.reserve, Usage::total);
         if !request.idempotent {
@@ -221,7 +225,7 @@
             self.bill(id, charged, Outcome::Unknown, AnswerEnd::None);
             return;
         }
-        if !begun {
+        if !answer_begun {
             request.wasted = request.wasted.saturating_add(used).min(request.reserve);
             if self.try_elsewhere(now, id) {
                 return;
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -296,8 +296,8 @@
                 limit: Some(Tokens(100)),
                 blocks: Vec::new(),
             },
-            request: Fingerprint(7),
-            patience: None,
+            fingerprint: Fingerprint(7),
+            timeout: None,
             priority: None,
         }
     }
--- a/src/router/tests/contended.rs
+++ b/src/router/tests/contended.rs
@@ -71,7 +71,7 @@
     bench.dispatched(0, &first);
     for at in 0..2 {
         let mut second = bench.call("c2", 2);
-        second.patience = Some(std::time::Duration::from_millis(300));
+        second.timeout = Some(std::time::Duration::from_millis(300));
         let second = bench.arrive(at, &second);
         bench.pass(600);
         let refusal = bench.nodes[at].refusal(second).expect("a refusal");
@@ -87,7 +87,7 @@
     let id = bench.arrive(0, &first);
     let refuse = |bench: &mut Bench, at: usize| {
         let mut other = bench.call("c3", 1);
-        other.request = Fingerprint(8);
+        other.fingerprint = Fingerprint(8);
         let other = bench.arrive(at, &other);
         bench.pass(100);
         let refusal = bench.nodes[at].refusal(other).expect("a refusal");
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -22,11 +22,11 @@
 use crate::router::tests::site::whole;
 use crate::tokens::Tokens;
 
-fn broken(begun: bool) -> RunEnd {
+fn broken(answer_begun: bool) -> RunEnd {
     RunEnd::Failed {
         usage: None,
-        begun,
-        died: false,
+        answer_begun,
+        endpoint_died: false,
     }
 }
 
--- a/src/router/tests/hung_up.rs
+++ b/src/router/tests/hung_up.rs
@@ -68,8 +68,8 @@
     };
     let broken = RunEnd::Failed {
         usage: Some(usage),
-        begun: false,
-        died: false,
+        answer_begun: false,
+        endpoint_died: false,
     };
     bench.tell(0, Event::RunEnded(id, broken));
     assert_eq!(bench.nodes[0].runs(id).len(), 2);
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -162,8 +162,8 @@
             (0, _) => RunEnd::NotRun { retry: None },
             (1, _) => RunEnd::Failed {
                 usage: known,
-                begun: false,
-                died: how > 128,
+                answer_begun: false,
+                endpoint_died: how > 128,
             },
             (2, _) => RunEnd::Unsent,
             (_, true) => RunEnd::Answered {
@@ -172,8 +172,8 @@
             },
             (3, _) => RunEnd::Failed {
                 usage: known,
-                begun: true,
-                died: false,
+                answer_begun: true,
+                endpoint_died: false,
             },
             (4, _) => RunEnd::CallerGone { usage: known },
             _ => RunEnd::Completed { usage },
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -105,8 +105,8 @@
     let id = bench.dispatched(0, &ask);
     let broken = RunEnd::Failed {
         usage: None,
-        begun: false,
-        died: false,
+        answer_begun: false,
+        endpoint_died: false,
     };
     bench.tell(0, Event::RunEnded(id, broken));
     bench.pass(300);
@@ -133,7 +133,7 @@
     bench.dispatched(1, &first);
     for attempt in [1, 2, 3] {
         let mut again = bench.call("p7", attempt);
-        again.patience = Some(Duration::from_millis(100));
+        again.timeout = Some(Duration::from_millis(100));
         let again = bench.arrive(0, &again);
         bench.pass(400);
         assert_eq!(
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -227,7 +227,7 @@
 fn a_refusal_whose_proof_is_lost_is_unknown() {
     let mut bench = Bench::start(2);
     let mut ask = bench.chat("r6", 2);
-    ask.patience = Some(std::time::Duration::from_millis(1));
+    ask.timeout = Some(std::time::Duration::from_millis(1));
     close(&mut bench);
     // Its deadline passes at the first tick, before the close is read.
     bench.log = Log::Down;
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -311,8 +311,8 @@
                 output: Tokens(output),
                 prompt: None,
             }),
-            request: Fingerprint(id.0),
-            patience: None,
+            fingerprint: Fingerprint(id.0),
+            timeout: None,
             priority: None,
         })));
         id
