--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -132,7 +132,7 @@
         end_marker: ledger.end_marker,
         heartbeat_interval: ledger.heartbeat_ms.duration(),
         silence_timeout: ledger.silence_ms.duration(),
-        default_deadline: settings.limits.deadline_ms.duration(),
+        default_timeout: settings.limits.deadline_ms.duration(),
         queue_limit: settings.limits.queue,
         queue_timeout: settings.limits.queue_ms.duration(),
         address_ttl: settings.limits.address_ms.duration(),
--- a/src/platform/start.rs
+++ b/src/platform/start.rs
@@ -248,7 +248,7 @@
         end_marker: EndMarker::default(),
         heartbeat_interval: HEARTBEAT,
         silence_timeout: Duration::from_secs(4),
-        default_deadline: limits.deadline_ms.duration(),
+        default_timeout: limits.deadline_ms.duration(),
         queue_limit: limits.queue,
         log_retention: Duration::from_secs(3600),
         queue_timeout: limits.queue_ms.duration(),
--- a/src/router/arrive.rs
+++ b/src/router/arrive.rs
@@ -184,8 +184,8 @@
         let priority = arrival.priority.unwrap_or(0).max(route.priority).min(9);
         let patience = arrival
             .timeout
-            .unwrap_or(self.tuning.default_deadline)
-            .min(self.tuning.default_deadline);
+            .unwrap_or(self.tuning.default_timeout)
+            .min(self.tuning.default_timeout);
         Ok(Request {
             key: RequestKey {
                 account,
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -68,8 +68,8 @@
     pub(crate) heartbeat_interval: Duration,
     /// Silence after which a router that is no longer in the VM list is closed.
     pub(crate) silence_timeout: Duration,
-    /// Deadline of a request whose caller sets none.
-    pub(crate) default_deadline: Duration,
+    /// Timeout of a request whose caller sets none.
+    pub(crate) default_timeout: Duration,
     /// Maximum number of requests queued for each pool.
     pub(crate) queue_limit: usize,
     /// How long the log retains records.
--- a/src/router/event.rs
+++ b/src/router/event.rs
@@ -186,7 +186,7 @@
     pub(crate) work: Work,
     /// Fingerprint of the request's content.
     pub(crate) fingerprint: Fingerprint,
-    /// Time for which the caller waits, if it sets a limit.
+    /// Time for which the caller waits, if it says so.
     pub(crate) timeout: Option<Duration>,
     /// Priority requested by the caller, 0 (most urgent) to 9 (least urgent); it can lower the priority that the rule
     /// sets, but not raise it.
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -41,7 +41,7 @@
 /// carry the peer's as well.
 const FRESH_ROUNDS: u32 = 2;
 
-/// Interval between the empty batches that a router appends while some peer cannot reach it.
+/// Interval between the empty batches that a router appends while some peer does not answer.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Consecutive failures of one kind to reach a peer.
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -71,7 +71,7 @@
         let stride = table.pool(&pool).map_or(1, |pool| pool.stride);
         let wait = arrival
             .timeout
-            .unwrap_or(self.tuning.default_deadline)
+            .unwrap_or(self.tuning.default_timeout)
             .min(route.timeout);
         if !self.takes_until(now, now + wait) {
             return Err(self.not_serving());
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -105,7 +105,7 @@
         end_marker: EndMarker::Peers,
         heartbeat_interval: Duration::from_millis(100),
         silence_timeout: Duration::from_secs(4),
-        default_deadline: Duration::from_secs(60),
+        default_timeout: Duration::from_secs(60),
         queue_limit: 512,
         log_retention: Duration::from_secs(3600),
         queue_timeout: Duration::from_secs(10),
