--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -68,7 +68,7 @@
     pub(crate) heartbeat_interval: Duration,
     /// Silence after which a router that is no longer in the VM list is closed.
     pub(crate) silence_timeout: Duration,
-    /// Timeout of a request whose caller sets none.
+    /// Timeout of a request whose caller sets none; also the maximum, except for relayed requests.
     pub(crate) default_timeout: Duration,
     /// Maximum number of requests queued for each pool.
     pub(crate) queue_limit: usize,
