--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -30,8 +30,8 @@
 use crate::edge::log::LEDGER;
 use crate::edge::log::Log;
 use crate::edge::metrics::Metrics;
-use crate::edge::peers;
 use crate::edge::peers::Caller;
+use crate::edge::peers;
 use crate::edge::probe::Prober;
 use crate::edge::tell::Teller;
 use crate::edge::vms;
@@ -128,17 +128,17 @@
             interval: ledger.commit_ms.duration(),
             timeout: ledger.append_ms.duration(),
         },
-        outage: ledger.outage_ms.duration(),
-        marker: ledger.end_marker,
-        heartbeat: ledger.heartbeat_ms.duration(),
-        silence: ledger.silence_ms.duration(),
-        patience: settings.limits.deadline_ms.duration(),
-        queue: settings.limits.queue,
-        wait: settings.limits.queue_ms.duration(),
-        keep: settings.limits.address_ms.duration(),
-        parted: ledger.parted_ms.duration(),
-        drain: settings.limits.drain_ms.duration(),
-        retention: ledger.retention_ms.duration(),
+        outage_after: ledger.outage_ms.duration(),
+        end_marker: ledger.end_marker,
+        heartbeat_interval: ledger.heartbeat_ms.duration(),
+        silence_timeout: ledger.silence_ms.duration(),
+        default_timeout: settings.limits.deadline_ms.duration(),
+        queue_limit: settings.limits.queue,
+        queue_timeout: settings.limits.queue_ms.duration(),
+        address_ttl: settings.limits.address_ms.duration(),
+        partition_timeout: ledger.parted_ms.duration(),
+        drain_timeout: settings.limits.drain_ms.duration(),
+        log_retention: ledger.retention_ms.duration(),
         accounting: Accounting::Ledger,
         clock,
     }
@@ -256,7 +256,7 @@
     /// Returns when the core must be called though nothing happens.
     fn next_turn(&self, last: Instant) -> Instant {
         let tick = last + TICK;
-        self.core.wake().map_or(tick, |wake| wake.min(tick))
+        self.core.next_wake().map_or(tick, |wake| wake.min(tick))
     }
 
     /// Tells the core of a pause of the whole process.
@@ -275,7 +275,7 @@
     fn show_ledger(&self) {
         self.desk.set_ledger_next(self.core.ledger_next());
         for sender in self.desk.take_snapshots() {
-            let _ = sender.send(self.core.ledger_bytes());
+            let _ = sender.send(self.core.encode_ledger());
         }
     }
 
@@ -284,39 +284,39 @@
             Effect::Refuse(id, problem) => self.desk.command(id, Command::Refuse(problem)),
             Effect::Replay(id, replay) => self.desk.command(id, Command::Replay(replay)),
             Effect::Run(id, run) => self.desk.command(id, Command::Run(run)),
-            Effect::Release(id) => self.desk.command(id, Command::Release),
-            Effect::Leave(id) => self.desk.command(id, Command::Leave),
-            Effect::Cut(id, problem) => self.desk.command(id, Command::Cut(problem)),
-            Effect::Beat(beat, peers) => {
+            Effect::FinishAnswer(id) => self.desk.command(id, Command::Release),
+            Effect::Abandon(id) => self.desk.command(id, Command::Leave),
+            Effect::Abort(id, problem) => self.desk.command(id, Command::Cut(problem)),
+            Effect::SendHeartbeat(beat, peers) => {
                 self.desk.set_beat(self.clock.now(), beat.clone());
                 for peer in peers {
                     tokio::spawn(self.peers.clone().beat(beat.clone(), peer));
                 }
             }
-            Effect::Keep(batches, peers) => {
+            Effect::KeepBatches(batches, peers) => {
                 for peer in peers {
                     tokio::spawn(self.peers.clone().keep(batches.clone(), peer));
                 }
             }
-            Effect::Relay(snapshot, peer) => {
+            Effect::SendConfig(snapshot, peer) => {
                 tokio::spawn(self.peers.clone().relay(snapshot, peer));
             }
             Effect::OfferTable(table) => self.desk.set_table(table),
             Effect::FetchTable(peer) => {
                 tokio::spawn(self.peers.clone().table(peer));
             }
-            Effect::Tell(reading, peers) => {
+            Effect::SendPromptNotice(reading, peers) => {
                 if let Some(teller) = self.teller.as_ref().filter(|_| !self.peers.is_late()) {
                     teller.tell(&reading, &peers);
                 }
             }
-            Effect::Give(gift, peer) => {
+            Effect::TransferBudget(gift, peer) => {
                 tokio::spawn(self.peers.clone().give(gift, peer));
             }
-            Effect::Borrow(ask, peer) => {
+            Effect::RequestLoan(ask, peer) => {
                 tokio::spawn(self.peers.clone().borrow(ask, peer));
             }
-            Effect::Order(order) => {
+            Effect::SendOrder(order) => {
                 tokio::spawn(engine::order(self.desk.clone(), order));
             }
             Effect::Probe(vm, address) => {
--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -100,16 +100,16 @@
     }
 
     /// Makes the event of a request with this head.
-    pub(crate) fn arrival(self, id: RequestId, work: Work, request: Fingerprint) -> Event {
-        Event::Arrived(Box::new(Arrival {
+    pub(crate) fn arrival(self, id: RequestId, work: Work, fingerprint: Fingerprint) -> Event {
+        Event::RequestArrived(Box::new(Arrival {
             id,
             bearer: self.bearer,
             key: Some(self.key),
             attempt: self.attempt,
             labels: self.labels,
             work,
-            request,
-            patience: self.patience,
+            fingerprint,
+            timeout: self.patience,
             priority: self.priority,
         }))
     }
--- a/src/edge/peers.rs
+++ b/src/edge/peers.rs
@@ -10,8 +10,8 @@
 use indexmap::IndexMap;
 use serde::Deserialize;
 use serde::Serialize;
-use tarpc::context;
 use tarpc::context::Context;
+use tarpc::context;
 use tarpc::serde_transport;
 use tarpc::server::BaseChannel;
 use tarpc::server::Channel;
@@ -31,13 +31,13 @@
 use crate::edge::codec::Postcard;
 use crate::edge::desk::Desk;
 use crate::edge::desk::lock;
+use crate::router::BudgetTransfer;
 use crate::router::Event;
-use crate::router::Gift;
 use crate::router::Heartbeat;
 use crate::router::KeptBatches;
-use crate::router::LoanAsk;
+use crate::router::LoanRequest;
 use crate::router::Peer;
-use crate::router::Silence;
+use crate::router::PeerFailure;
 use crate::tokens::Tokens;
 
 /// The version of these messages, told in each call. Another one is refused, not guessed at.
@@ -86,10 +86,10 @@
     async fn table(version: u32) -> Result<RouteTable, Refused>;
 
     /// Lends what is idle of a budget.
-    async fn lend(version: u32, ask: LoanAsk) -> Result<Tokens, Refused>;
+    async fn lend(version: u32, ask: LoanRequest) -> Result<Tokens, Refused>;
 
     /// Takes what a router that stops hands over.
-    async fn give(version: u32, gift: Gift) -> Result<(), Refused>;
+    async fn give(version: u32, gift: BudgetTransfer) -> Result<(), Refused>;
 
     /// Returns the ledger's state.
     async fn ledger(version: u32) -> Result<Vec<u8>, Refused>;
@@ -109,7 +109,7 @@
 impl Peering for Server {
     async fn beat(self, _: Context, version: u32, beat: Heartbeat) -> Result<Heartbeat, Refused> {
         check(version)?;
-        self.0.tell(Event::Heard(beat));
+        self.0.tell(Event::HeartbeatReceived(beat));
         self.0.beat(SystemClock.now()).ok_or(Refused::NotReady)
     }
 
@@ -134,12 +134,12 @@
         Ok(RouteTable::clone(&table))
     }
 
-    async fn lend(self, _: Context, version: u32, ask: LoanAsk) -> Result<Tokens, Refused> {
+    async fn lend(self, _: Context, version: u32, ask: LoanRequest) -> Result<Tokens, Refused> {
         check(version)?;
         self.0.lend(ask).await.ok_or(Refused::NotReady)
     }
 
-    async fn give(self, _: Context, version: u32, gift: Gift) -> Result<(), Refused> {
+    async fn give(self, _: Context, version: u32, gift: BudgetTransfer) -> Result<(), Refused> {
         check(version)?;
         match self.0.given(gift).await {
             true => Ok(()),
@@ -214,9 +214,11 @@
             self.note_round_trip(asked);
         }
         match answer {
-            Ok(Ok(word)) => self.desk.tell(Event::Heard(word)),
-            Ok(Err(_)) => self.desk.tell(Event::Unheard(peer.vm, Silence::Mute)),
-            Err(silence) => self.desk.tell(Event::Unheard(peer.vm, silence)),
+            Ok(Ok(word)) => self.desk.tell(Event::HeartbeatReceived(word)),
+            Ok(Err(_)) => self
+                .desk
+                .tell(Event::HeartbeatFailed(peer.vm, PeerFailure::Mute)),
+            Err(silence) => self.desk.tell(Event::HeartbeatFailed(peer.vm, silence)),
         }
     }
 
@@ -243,19 +245,19 @@
             client.keep(deadline(CALL), VERSION, batches).await
         };
         match self.call(&peer.address, CALL, call).await {
-            Ok(Ok(())) => self.desk.tell(Event::Kept {
+            Ok(Ok(())) => self.desk.tell(Event::BatchesKept {
                 peer: peer.vm,
                 router,
                 last,
                 records,
             }),
-            Ok(Err(_)) => self.desk.tell(Event::Unkept(peer.vm)),
+            Ok(Err(_)) => self.desk.tell(Event::BatchesRejected(peer.vm)),
             Err(silence) => info!(event = "not-kept", vm = %peer.vm, ?silence),
         }
     }
 
     /// Hands budget over to a peer, a few times where no answer comes, and tells the core.
-    pub(crate) async fn give(self, gift: Gift, peer: Peer) {
+    pub(crate) async fn give(self, gift: BudgetTransfer, peer: Peer) {
         let mut taken = false;
         for _ in 0..GIFT_TRIES {
             let given = gift.clone();
@@ -267,11 +269,11 @@
                 break;
             }
         }
-        self.desk.tell(Event::Taken(gift, taken));
+        self.desk.tell(Event::TransferAnswered(gift, taken));
     }
 
     /// Asks a peer for a loan, and tells the core. The core asks again where no answer came.
-    pub(crate) async fn borrow(self, ask: LoanAsk, peer: Peer) {
+    pub(crate) async fn borrow(self, ask: LoanRequest, peer: Peer) {
         // On a VM that is late, a question given up too early would be asked again over a new connection.
         let limit = lock(&self.trips).timeout(LOAN);
         let asked = ask.clone();
@@ -285,7 +287,7 @@
                 None
             }
         };
-        self.desk.tell(Event::Lent(ask, amount));
+        self.desk.tell(Event::LoanAnswered(ask, amount));
     }
 
     /// Returns whether all that this router does is late, so that it had better do without what is not needed.
@@ -312,11 +314,11 @@
             Ok(Ok(table)) => self.desk.tell(Event::Table(Arc::new(table))),
             Ok(Err(refused)) => {
                 info!(event = "no-config", vm = %peer.vm, ?refused);
-                self.desk.tell(Event::TableUnsent(peer.vm));
+                self.desk.tell(Event::TableFetchFailed(peer.vm));
             }
             Err(silence) => {
                 info!(event = "no-config", vm = %peer.vm, ?silence);
-                self.desk.tell(Event::TableUnsent(peer.vm));
+                self.desk.tell(Event::TableFetchFailed(peer.vm));
             }
         }
     }
@@ -329,7 +331,7 @@
     }
 
     /// Makes one call.
-    async fn call<F, A, T>(&self, address: &str, limit: Duration, call: F) -> Result<T, Silence>
+    async fn call<F, A, T>(&self, address: &str, limit: Duration, call: F) -> Result<T, PeerFailure>
     where
         F: FnOnce(PeeringClient) -> A,
         A: Future<Output = Result<T, tarpc::client::RpcError>>,
@@ -340,21 +342,21 @@
             _ => {
                 // A connection over which nothing comes is half open, or worse: the next call makes a new one.
                 self.clients.lock().await.swap_remove(address);
-                Err(Silence::Mute)
+                Err(PeerFailure::Mute)
             }
         }
     }
 
-    async fn client(&self, address: &str, limit: Duration) -> Result<PeeringClient, Silence> {
+    async fn client(&self, address: &str, limit: Duration) -> Result<PeeringClient, PeerFailure> {
         if let Some(client) = self.clients.lock().await.get(address) {
             return Ok(client.clone());
         }
         let stream = match timeout(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                return Err(Silence::Refused);
+                return Err(PeerFailure::Refused);
             }
-            _ => return Err(Silence::Unreachable),
+            _ => return Err(PeerFailure::Unreachable),
         };
         let _ = stream.set_nodelay(true);
         let transport = serde_transport::new(codec_framed(stream), Postcard::default());
--- a/src/platform/start.rs
+++ b/src/platform/start.rs
@@ -25,12 +25,12 @@
 use crate::edge::driver::bind;
 use crate::edge::http;
 use crate::edge::metrics::Metrics;
-use crate::edge::peers;
 use crate::edge::peers::Caller;
+use crate::edge::peers;
 use crate::edge::probe::Prober;
-use crate::edge::relay;
 use crate::edge::relay::Relays;
 use crate::edge::relay::Upstream;
+use crate::edge::relay;
 use crate::edge::tell::Teller;
 use crate::labels::Labels;
 use crate::logs::dropped_lines;
@@ -48,11 +48,11 @@
 use crate::platform::store::Store;
 use crate::router::Accounting;
 use crate::router::AppendTiming;
-use crate::router::CPU;
+use crate::router::CPU_LABEL;
 use crate::router::Core;
 use crate::router::Event;
 use crate::router::GrantTuning;
-use crate::router::LINK;
+use crate::router::LINK_LABEL;
 use crate::router::Tuning;
 use crate::settings::EndMarker;
 use crate::settings::RequestLimits;
@@ -187,7 +187,7 @@
         match read {
             Ok(settings) => {
                 info!(event = "reload", path = %path.display());
-                desk.tell(Event::Tuned(Box::new(tuning(&settings, boot))));
+                desk.tell(Event::SettingsChanged(Box::new(tuning(&settings, boot))));
             }
             Err(error) => warn!(event = "settings-unreadable", path = %path.display(), %error),
         }
@@ -244,22 +244,22 @@
             interval: Duration::from_millis(25),
             timeout: Duration::from_secs(1),
         },
-        outage: Duration::from_secs(1),
-        marker: EndMarker::default(),
-        heartbeat: HEARTBEAT,
-        silence: Duration::from_secs(4),
-        patience: limits.deadline_ms.duration(),
-        queue: limits.queue,
-        retention: Duration::from_secs(3600),
-        wait: limits.queue_ms.duration(),
-        keep: settings.keep_ms.duration(),
-        parted: Duration::from_secs(3600),
-        drain: settings.grace_ms.duration().saturating_sub(BEFORE_GRACE),
+        outage_after: Duration::from_secs(1),
+        end_marker: EndMarker::default(),
+        heartbeat_interval: HEARTBEAT,
+        silence_timeout: Duration::from_secs(4),
+        default_timeout: limits.deadline_ms.duration(),
+        queue_limit: limits.queue,
+        log_retention: Duration::from_secs(3600),
+        queue_timeout: limits.queue_ms.duration(),
+        address_ttl: settings.keep_ms.duration(),
+        partition_timeout: Duration::from_secs(3600),
+        drain_timeout: settings.grace_ms.duration().saturating_sub(BEFORE_GRACE),
         accounting: Accounting::Grants(GrantTuning {
-            confirm: settings.config_ms.duration(),
-            linger: settings.keep_ms.duration().mul_f64(KEPT),
-            retries: settings.retry_ratio,
-            spare: settings.retry_spare / window,
+            config_max_age: settings.config_ms.duration(),
+            min_drain: settings.keep_ms.duration().mul_f64(KEPT),
+            retry_ratio: settings.retry_ratio,
+            retries_per_sec: settings.retry_spare / window,
         }),
         clock,
     }
@@ -277,8 +277,11 @@
         let mut labels = Labels::default();
         labels.set("role", "router");
         labels.set("peer", &settings.peer_listen.to_string());
-        labels.set(CPU, &(settings.cpu_share * 1000.0).round().to_string());
-        labels.set(LINK, &settings.link_mbps.ceil().to_string());
+        labels.set(
+            CPU_LABEL,
+            &(settings.cpu_share * 1000.0).round().to_string(),
+        );
+        labels.set(LINK_LABEL, &settings.link_mbps.ceil().to_string());
         let entry = VmEntry {
             vm: settings.vm.clone(),
             address: settings.front,
--- a/src/router/admin.rs
+++ b/src/router/admin.rs
@@ -15,8 +15,8 @@
 use crate::router::core::Phase;
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
-use crate::router::event::AdminId;
 use crate::router::event::AdminRequest;
+use crate::router::event::ReplyId;
 use crate::tokens::Tokens;
 
 /// Version of the state dump that `status` returns.
@@ -24,7 +24,7 @@
 
 impl Core {
     /// Handles an operator's request.
-    pub(crate) fn handle_admin(&mut self, now: Instant, id: AdminId, request: AdminRequest) {
+    pub(crate) fn handle_admin(&mut self, now: Instant, id: ReplyId, request: AdminRequest) {
         match request {
             AdminRequest::Address => self.answer_address(now, id),
             AdminRequest::Status => self.answer(id, 200, self.status(now)),
@@ -49,14 +49,14 @@
         }
     }
 
-    fn answer(&mut self, id: AdminId, status: u16, body: Value) {
+    fn answer(&mut self, id: ReplyId, status: u16, body: Value) {
         self.effects.push(Effect::Answer(id, status, body));
     }
 
-    fn answer_address(&mut self, now: Instant, id: AdminId) {
+    fn answer_address(&mut self, now: Instant, id: ReplyId) {
         match self.advice(now) {
             Some(advice) => {
-                let keep = advice.ttl.min(self.tuning.keep);
+                let keep = advice.ttl.min(self.tuning.address_ttl);
                 let keep = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
                 let body = json!({
                     "address": advice.address,
@@ -70,8 +70,8 @@
         }
     }
 
-    fn top_up(&mut self, id: AdminId, name: TopUpId, team: TeamId, amount: Tokens) {
-        if !self.serving() {
+    fn top_up(&mut self, id: ReplyId, name: TopUpId, team: TeamId, amount: Tokens) {
+        if !self.is_serving() {
             self.answer(id, 503, json!({"detail": "this router does not serve"}));
             return;
         }
@@ -89,7 +89,7 @@
             .push(record.clone(), Ticket::TopUp(id, record));
     }
 
-    pub(crate) fn answer_top_up(&mut self, id: AdminId, verdict: &Verdict) {
+    pub(crate) fn answer_top_up(&mut self, id: ReplyId, verdict: &Verdict) {
         let applied = *verdict == Verdict::Accepted;
         self.answer(id, 200, json!({"applied": applied}));
     }
@@ -158,7 +158,7 @@
             "ledger": {
                 "next": self.ledger.next(),
                 "waiting_records": self.appender.waiting(),
-                "kept_for_peers": self.members.kept(),
+                "kept_for_peers": self.members.kept_count(),
             },
             "config": {
                 "version": self.config.version(),
@@ -169,8 +169,8 @@
             "routers": routers,
             "pools": pools,
             "holdings": holdings,
-            "grants": self.funds.dump(now),
-            "table_version": self.table.as_ref().map(|table| table.version),
+            "grants": self.grant_budgets.dump(now),
+            "table_version": self.route_table.as_ref().map(|table| table.version),
             "teams": self.teams()["teams"],
         })
     }
@@ -185,9 +185,10 @@
             since: now,
             closing: false,
         };
-        self.funds.wind_down();
-        let peers = self.members.roster.peers().to_vec();
-        self.effects.push(Effect::Beat(self.heartbeat(now), peers));
+        self.grant_budgets.wind_down();
+        let peers = self.members.vm_index.peers().to_vec();
+        self.effects
+            .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
     }
 
     /// Logs the requests and records that an early end cuts off.
@@ -206,7 +207,7 @@
         let Phase::Draining { since, closing } = self.phase else {
             return;
         };
-        let late = now >= since + self.tuning.drain;
+        let late = now >= since + self.tuning.drain_timeout;
         if late {
             self.log_unfinished();
             self.effects.push(Effect::Exit { cut: true });
--- a/src/router/checkpoint.rs
+++ b/src/router/checkpoint.rs
@@ -27,19 +27,19 @@
     /// Writes a checkpoint if it is this router's turn.
     pub(crate) fn write_checkpoint(&mut self, now: Instant) {
         let recent = self
-            .checkpointed
+            .checkpointed_at
             .is_some_and(|at| now < at + RETRY_INTERVAL);
-        if recent || now < self.first_checkpoint || !self.serving() || self.in_outage(now) {
+        if recent || now < self.checkpoint_not_before || !self.is_serving() || self.in_outage(now) {
             return;
         }
         let schedule = Schedule {
-            retention_ms: millis(self.tuning.retention),
+            retention_ms: millis(self.tuning.log_retention),
             max_records: MAX_BATCHES,
         };
         if !schedule.is_due(&self.ledger, self.me, self.log_time_ms(now)) {
             return;
         }
-        self.checkpointed = Some(now);
+        self.checkpointed_at = Some(now);
         let parts = split(&self.ledger, MAX_PART_BYTES);
         if parts.is_empty() {
             // The log will drop the last checkpoint. Without this warning nobody would notice until the whole fleet
@@ -65,7 +65,7 @@
     /// Estimates the log service's time in milliseconds: that of the last record, plus the time since it was folded.
     pub(crate) fn log_time_ms(&self, now: Instant) -> u64 {
         let since = self
-            .folded
+            .last_folded_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.ledger.time_ms() + millis(since)
     }
--- a/src/router/closing.rs
+++ b/src/router/closing.rs
@@ -18,7 +18,7 @@
 use crate::router::core::Core;
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
-use crate::router::members::FRESH;
+use crate::router::members::FRESH_PERIOD;
 
 /// Delay between the routers that would close the same dead one, per rank. About the time of one append, so that
 /// usually only one of them does it.
@@ -45,8 +45,8 @@
 impl Core {
     /// Closes incarnations that have been silent past their time-out.
     pub(crate) fn close_dead_routers(&mut self, now: Instant) {
-        let log_fresh = now < self.members.log_heard + FRESH;
-        if !self.serving() || self.in_outage(now) || !log_fresh {
+        let log_fresh = now < self.members.log_answered_at + FRESH_PERIOD;
+        if !self.is_serving() || self.in_outage(now) || !log_fresh {
             // Records already sent may not have been appended, so closing starts over when the log is back.
             self.members.closing.clear();
             return;
@@ -68,7 +68,7 @@
     /// Returns whether an incarnation has shown no sign of life for longer than its time-out.
     fn is_silent(&mut self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
         let rank = self.rank(router);
-        let last = *self.members.signs.entry(router).or_insert(now);
+        let last = *self.members.last_seen.entry(router).or_insert(now);
         let base = match self.members.is_replaced(now, router, vm) {
             true => Duration::ZERO,
             false => self.silence_timeout(now, vm),
@@ -93,7 +93,7 @@
     /// Its last bills may be known to its peers alone. If it were closed first, those bills would be void, and answers
     /// that callers received in full would stay unbilled.
     fn close_router(&mut self, now: Instant, router: Incarnation, sequence: Sequence) {
-        let kept = self.members.kept.get(&router);
+        let kept = self.members.kept_batches.get(&router);
         let missing = kept.filter(|kept| kept.last > sequence);
         let ongoing = self.members.closing.get(&router).copied();
         let mut closing = ongoing.unwrap_or(Closing {
@@ -136,9 +136,9 @@
         let members = &mut self.members;
         members.closing.retain(|id, _| ledger.is_open(*id));
         members
-            .signs
+            .last_seen
             .retain(|id, _| ledger.router(*id).is_none_or(|state| !state.closed));
-        members.kept.retain(|id, kept| {
+        members.kept_batches.retain(|id, kept| {
             let state = ledger.router(*id);
             state.is_none_or(|s| !s.closed && s.sequence < kept.last)
         });
--- a/src/router/cold.rs
+++ b/src/router/cold.rs
@@ -66,15 +66,15 @@
 impl Core {
     /// Handles endpoints' reports of how much longer they are cold.
     pub(crate) fn handle_cold_reports(&mut self, now: Instant, reports: &[(VmId, Duration)]) {
-        self.cold.prune(now);
+        self.cold_endpoints.prune(now);
         let mut changed = false;
         for (vm, left) in reports {
-            if self.cold.handle_report(now, vm, *left) {
+            if self.cold_endpoints.handle_report(now, vm, *left) {
                 changed = true;
                 info!(event = "endpoint-cold", endpoint = %vm, left_ms = left.as_millis());
             }
         }
-        if changed || self.cold.has_cold() {
+        if changed || self.cold_endpoints.has_cold() {
             self.update_cold_shares(now);
         }
         if changed {
@@ -85,11 +85,11 @@
     /// Updates which endpoints are cold in the pools, and this router's share of each one's request rate.
     pub(crate) fn update_cold_shares(&mut self, now: Instant) {
         let rates: Vec<_> = self.pools.keys().map(|id| self.cold_rate(id)).collect();
-        let routers = self.members.roster.serving();
+        let routers = self.members.vm_index.serving_vms();
         let router = &self.tuning.vm;
         for (pool, rate) in self.pools.values_mut().zip(rates) {
             for vm in pool.addresses.keys() {
-                let until = self.cold.cold_until(now, vm);
+                let until = self.cold_endpoints.cold_until(now, vm);
                 let share = until.map_or(0, |_| cold_share(rate, &routers, router, vm));
                 pool.picker.chooser.set_cold(vm, until, share);
             }
@@ -98,13 +98,13 @@
 
     /// Returns how long an endpoint of a pool is cold after its start.
     pub(crate) fn warmup(&self, pool: &PoolId) -> Duration {
-        let pool = self.table.as_ref().and_then(|table| table.pool(pool));
+        let pool = self.route_table.as_ref().and_then(|table| table.pool(pool));
         pool.map_or(Duration::ZERO, |pool| pool.warmup)
     }
 
     /// Returns how many requests a second a cold endpoint of a pool takes.
     pub(crate) fn cold_rate(&self, pool: &PoolId) -> u32 {
-        let pool = self.table.as_ref().and_then(|table| table.pool(pool));
+        let pool = self.route_table.as_ref().and_then(|table| table.pool(pool));
         pool.map_or(0, |pool| pool.cold_rate)
     }
 }
--- a/src/router/config_stream.rs
+++ b/src/router/config_stream.rs
@@ -108,7 +108,7 @@
 
     fn config_changed(&mut self, now: Instant) {
         info!(event = "config-in-force", version = %self.config.version());
-        for (account, limit) in &mut self.accounts {
+        for (account, limit) in &mut self.account_limits {
             if let Some(spec) = self.config.account(account) {
                 limit.set_limits(now, &spec.limits);
             }
@@ -126,10 +126,10 @@
         };
         let written_at = self.config_stream.written_at;
         let recent = written_at.is_some_and(|at| now < at + RETRY_INTERVAL);
-        if recent || !self.serving() || self.in_outage(now) {
+        if recent || !self.is_serving() || self.in_outage(now) {
             return;
         }
-        let retention = millis(self.tuning.retention);
+        let retention = millis(self.tuning.log_retention);
         let turn = u64::from(self.rank(Incarnation(self.config.next().0)));
         let due =
             checkpoint_ms + retention / CHECKPOINT_DIVISOR + turn * (retention / TURN_DIVISOR);
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -1,4 +1,4 @@
-//! The core of a router: its state, and the way from an event to what answers it.
+//! The state of a router and the dispatch of events to their handlers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,8 +36,8 @@
 use crate::router::config_stream::ConfigStream;
 use crate::router::drained::DrainedDomains;
 use crate::router::effect::Effect;
-use crate::router::event::AdminId;
 use crate::router::event::Event;
+use crate::router::event::ReplyId;
 use crate::router::grant_budgets::GrantBudgets;
 use crate::router::ledger_budget::LedgerBudget;
 use crate::router::members::Members;
@@ -49,88 +49,87 @@
 use crate::settings::EndMarker;
 use crate::tokens::Tokens;
 
-/// What a router is told at its start.
+/// Identity, time-outs and limits of a router, from its settings.
 #[derive(Clone, Debug)]
 pub(crate) struct Tuning {
-    /// Its VM.
     pub(crate) vm: VmId,
-    /// Its failure domain.
     pub(crate) domain: DomainId,
-    /// Where callers reach it, `ip:port`.
+    /// Address that callers use, `ip:port`.
     pub(crate) address: String,
-    /// Which user's measure its policies lean to.
+    /// Whether the policies favour an exact view of budgets or availability during a partition.
     pub(crate) lean: ConsistencyMode,
-    /// How records are gathered into appends.
+    /// How records are batched into appends to the log.
     pub(crate) pace: AppendTiming,
-    /// How long a batch may go without its verdict before the log counts as down.
-    pub(crate) outage: Duration,
-    /// When the end of an answer goes out while the log is down.
-    pub(crate) marker: EndMarker,
-    /// How often peers hear from it.
-    pub(crate) heartbeat: Duration,
-    /// How long a router that the VM list no longer shows may be silent before it is closed.
-    pub(crate) silence: Duration,
-    /// How long a caller waits where it does not say.
-    pub(crate) patience: Duration,
-    /// How many requests may wait for each pool's endpoints.
-    pub(crate) queue: usize,
-    /// How long the log keeps records.
-    pub(crate) retention: Duration,
-    /// How long a request may wait for an endpoint.
-    pub(crate) wait: Duration,
-    /// How long a caller may keep an advised address.
-    pub(crate) keep: Duration,
-    /// How long a router that the VM list shows may be out of reach before it is closed.
-    pub(crate) parted: Duration,
-    /// How long a planned stop waits for the requests in progress.
-    pub(crate) drain: Duration,
-    /// How budgets are kept.
+    /// Time after which an unacknowledged batch counts as an outage of the log.
+    pub(crate) outage_after: Duration,
+    /// When the end of an answer is sent during an outage of the log.
+    pub(crate) end_marker: EndMarker,
+    /// Interval between heartbeats to peers.
+    pub(crate) heartbeat_interval: Duration,
+    /// Silence after which a router that is no longer in the VM list is closed.
+    pub(crate) silence_timeout: Duration,
+    /// Timeout of a request whose caller sets none; also the maximum, except for relayed requests.
+    pub(crate) default_timeout: Duration,
+    /// Maximum number of requests queued for each pool.
+    pub(crate) queue_limit: usize,
+    /// How long the log retains records.
+    pub(crate) log_retention: Duration,
+    /// Maximum time that a request is queued for an endpoint.
+    pub(crate) queue_timeout: Duration,
+    /// How long a caller may cache an advised address.
+    pub(crate) address_ttl: Duration,
+    /// How long a router that is still in the VM list may be unreachable before it is closed.
+    pub(crate) partition_timeout: Duration,
+    /// How long a planned stop waits for requests in progress.
+    pub(crate) drain_timeout: Duration,
+    /// How budgets are accounted for.
     pub(crate) accounting: Accounting,
-    /// The VM's clock, by which moments outlast the process.
+    /// Clock of the VM's boot; its time stamps remain valid after a restart of the process.
     pub(crate) clock: BootClock,
 }
 
-/// How budgets are kept.
+/// How budgets are accounted for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Accounting {
-    /// By the ledger: claims and bills under the callers' keys.
+    /// Through the ledger, with claims and bills for each request key.
     Ledger,
-    /// By grants to each router, written on a condition to a log that keeps the newest of each.
+    /// Through grants to each router, written conditionally to a log that retains the newest record of each key.
     Grants(GrantTuning),
 }
 
-/// What a router that lives by grants is told at its start.
+/// Settings of a router whose budgets are granted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GrantTuning {
-    /// How long the platform's word that there is no newer configuration holds: how late a change may be in force.
-    pub(crate) confirm: Duration,
-    /// How long a planned stop goes on serving though nothing is in progress: callers keep addresses that long.
-    pub(crate) linger: Duration,
-    /// Runs beyond the first that all routers together may make for each request.
-    pub(crate) retries: f64,
-    /// Runs beyond that which all routers together may make a second.
-    pub(crate) spare: f64,
+    /// How long the platform's confirmation that there is no newer configuration is valid, and so the longest delay
+    /// until a change is in force.
+    pub(crate) config_max_age: Duration,
+    /// Minimum time for which a planned stop goes on serving, even when idle: callers cache addresses for that long.
+    pub(crate) min_drain: Duration,
+    /// Retries per request that all routers together may make.
+    pub(crate) retry_ratio: f64,
+    /// Retries per second that all routers together may make in addition.
+    pub(crate) retries_per_sec: f64,
 }
 
-/// What a router does with new requests.
+/// Stage of a router's life, which decides whether it accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It has not read the log yet.
+    /// The log has not been read up to its end yet.
     CatchingUp,
-    /// Its opening record is on its way.
+    /// The record that opens the router has been sent and is not acknowledged yet.
     Opening,
-    /// It takes requests.
+    /// New requests are accepted.
     Serving,
-    /// It takes none and ends when those in progress are over.
+    /// No new requests are accepted; the process exits once those in progress have finished.
     Draining {
-        /// Since when.
+        /// When draining began.
         since: Instant,
-        /// Whether its closing record is on its way.
+        /// Whether the record that closes the router has been sent.
         closing: bool,
     },
 }
 
-/// What comes back with a record's verdict.
+/// What a record was written for; returned together with its verdict.
 #[derive(Clone, Debug)]
 pub(crate) enum Ticket {
     Open,
@@ -144,12 +143,12 @@
     },
     Draw(TeamId),
     Return(TeamId, Tokens),
-    TopUp(AdminId, Record),
+    TopUp(ReplyId, Record),
     CloseSelf,
     Other,
 }
 
-/// A router's core.
+/// State of a router.
 pub(crate) struct Core {
     pub(crate) tuning: Tuning,
     pub(crate) rng: ChaCha8Rng,
@@ -159,143 +158,144 @@
     pub(crate) config: Config,
     pub(crate) appender: Appender<Ticket>,
     pub(crate) requests: IndexMap<RequestId, Request>,
-    /// The request that has each key here.
-    pub(crate) active: IndexMap<RequestKey, RequestId>,
-    /// Requests that wait for another attempt's end.
+    /// The request in progress at this router for each key.
+    pub(crate) request_by_key: IndexMap<RequestKey, RequestId>,
+    /// Requests that wait until another attempt with their key ends.
     pub(crate) contended: Vec<RequestId>,
-    pub(crate) purses: IndexMap<TeamId, LedgerBudget>,
-    pub(crate) policy: HoldingPolicy,
-    /// What was asked for here.
-    pub(crate) demand: IndexMap<TeamId, Demand>,
-    /// What the whole fleet claimed.
-    pub(crate) fleet: IndexMap<TeamId, Demand>,
-    pub(crate) accounts: IndexMap<AccountId, AccountLimit>,
+    pub(crate) ledger_budgets: IndexMap<TeamId, LedgerBudget>,
+    pub(crate) holding_policy: HoldingPolicy,
+    /// Demand for each team's budget at this router.
+    pub(crate) own_demand: IndexMap<TeamId, Demand>,
+    /// Demand for each team's budget in all routers, taken from their claims.
+    pub(crate) fleet_demand: IndexMap<TeamId, Demand>,
+    pub(crate) account_limits: IndexMap<AccountId, AccountLimit>,
     pub(crate) pools: IndexMap<PoolId, Pool>,
-    pub(crate) retries: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) members: Members,
     pub(crate) effects: Vec<Effect>,
     pub(crate) outage: Outage,
-    pub(crate) proofs: ProofBudget,
-    /// Until when requests may be ones that lay in a socket while the process was stopped.
+    pub(crate) refuse_limiter: RefuseLimiter,
+    /// Requests that arrive before this time may have been in a socket buffer while the process was suspended.
     pub(crate) stale_until: Option<Instant>,
-    /// When the router started.
-    pub(crate) started: Instant,
-    /// Since when all of the log is folded, while the router waits to open.
-    pub(crate) caught: Option<Instant>,
-    /// When a state of the ledger was last asked for.
-    pub(crate) fetched: Option<Instant>,
-    /// When a record was last folded.
-    pub(crate) folded: Option<Instant>,
-    /// When holdings were last looked over.
-    pub(crate) kept_house: Option<Instant>,
-    /// Before this a router writes no checkpoint.
-    pub(crate) first_checkpoint: Instant,
-    /// When a checkpoint was last written.
-    pub(crate) checkpointed: Option<Instant>,
+    pub(crate) started_at: Instant,
+    /// When the log was read up to its end, while the router waits to open.
+    pub(crate) caught_up_at: Option<Instant>,
+    /// When the ledger's state was last requested.
+    pub(crate) ledger_fetched_at: Option<Instant>,
+    pub(crate) last_folded_at: Option<Instant>,
+    /// When the holdings of each team were last rebalanced.
+    pub(crate) rebalanced_at: Option<Instant>,
+    /// Earliest time at which this router writes a checkpoint.
+    pub(crate) checkpoint_not_before: Instant,
+    pub(crate) checkpointed_at: Option<Instant>,
     pub(crate) config_stream: ConfigStream,
     pub(crate) quarantine: Quarantine,
     pub(crate) orders: Orders,
-    /// The configuration, where a platform hands it over whole.
-    pub(crate) table: Option<Arc<RouteTable>>,
+    /// The route table, on a platform that delivers the configuration as a whole.
+    pub(crate) route_table: Option<Arc<RouteTable>>,
     pub(crate) table_watch: TableWatch,
-    /// Failure domains whose endpoints get nothing new.
-    pub(crate) drained: DrainedDomains,
-    pub(crate) cold: ColdEndpoints,
-    /// What may be spent, where budgets are kept by grants.
-    pub(crate) funds: GrantBudgets,
+    /// Failure domains whose endpoints receive no new requests.
+    pub(crate) drained_domains: DrainedDomains,
+    pub(crate) cold_endpoints: ColdEndpoints,
+    /// Budgets granted to this router, unless the ledger accounts for them.
+    pub(crate) grant_budgets: GrantBudgets,
 }
 
-/// What part of the retries that all routers may make together they take: routers that start or end are counted late.
-const RETRY_PART: f64 = 0.8;
+/// Share of the fleet's retries that the routers use: starts and stops of routers are noticed late.
+const RETRY_SHARE: f64 = 0.8;
 
-/// How long a router leaves checkpoints to others at its start, once to thrice: in a fleet that starts together all would
-/// find that there is none, and write one at once.
-const FIRST_CHECKPOINT: Duration = Duration::from_secs(10);
+/// Minimum delay before a router's first checkpoint; the actual delay is random, up to three times as long. In a fleet
+/// that starts all at once, every router would otherwise find no checkpoint and write one.
+const CHECKPOINT_DELAY: Duration = Duration::from_secs(10);
 
-/// How long after a pause requests count as stale: what lay in the sockets is read within a few turns of the loop, each of
-/// which a machine that is busy after the pause may take hundreds of milliseconds for.
-const STALE: Duration = Duration::from_secs(2);
+/// How long requests count as stale after the process was suspended. What was in the socket buffers is read within a
+/// few iterations of the event loop, each of which may take hundreds of milliseconds on a machine that is busy after
+/// the pause.
+const STALE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Bounds the refuse records of a router, so that under overload the proofs cost less than serving would.
+/// Limits the rate of refuse records, so that under overload refusing costs less than serving would.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ProofBudget {
-    left: f64,
-    at: Option<Instant>,
+pub(crate) struct RefuseLimiter {
+    available: f64,
+    refilled_at: Option<Instant>,
 }
 
-/// Refuse records a second at one router: at 60 bytes each, a tenth of what a batch may carry.
-const PROOF_RATE: f64 = 200.0;
+/// Refuse records per second of one router: at 60 bytes each, a tenth of what a batch can hold.
+const REFUSES_PER_SEC: f64 = 200.0;
 
-impl ProofBudget {
-    /// Takes one proof, if one is left.
-    pub(crate) fn take(&mut self, now: Instant) -> bool {
-        let since = self.at.map_or(Duration::from_secs(1), |at| now - at);
-        self.left = (self.left + since.as_secs_f64() * PROOF_RATE).min(PROOF_RATE);
-        self.at = Some(now);
-        if self.left < 1.0 {
+impl RefuseLimiter {
+    /// Takes one record from the limit; returns whether one was left.
+    pub(crate) fn try_acquire(&mut self, now: Instant) -> bool {
+        let elapsed = self
+            .refilled_at
+            .map_or(Duration::from_secs(1), |at| now - at);
+        self.available =
+            (self.available + elapsed.as_secs_f64() * REFUSES_PER_SEC).min(REFUSES_PER_SEC);
+        self.refilled_at = Some(now);
+        if self.available < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
 
 impl Core {
-    /// Makes the core of a router that starts now; `seed` makes its random choices.
+    /// Creates the state of a router that starts now; `seed` initializes its random number generator.
     pub(crate) fn new(now: Instant, tuning: Tuning, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let me = Incarnation(rng.next_u64());
         Self {
             appender: Appender::new(me, tuning.pace),
-            policy: HoldingPolicy::new(tuning.lean),
+            holding_policy: HoldingPolicy::new(tuning.lean),
             phase: Phase::CatchingUp,
             me,
             ledger: Ledger::default(),
             config: Config::default(),
             requests: IndexMap::new(),
-            active: IndexMap::new(),
+            request_by_key: IndexMap::new(),
             contended: Vec::new(),
-            purses: IndexMap::new(),
-            demand: IndexMap::new(),
-            fleet: IndexMap::new(),
-            accounts: IndexMap::new(),
+            ledger_budgets: IndexMap::new(),
+            own_demand: IndexMap::new(),
+            fleet_demand: IndexMap::new(),
+            account_limits: IndexMap::new(),
             pools: IndexMap::new(),
-            retries: RetryBudget::new(now),
+            retry_budget: RetryBudget::new(now),
             members: Members::new(now, tuning.vm.clone()),
             effects: Vec::new(),
             outage: Outage::default(),
-            proofs: ProofBudget {
-                left: 0.0,
-                at: None,
+            refuse_limiter: RefuseLimiter {
+                available: 0.0,
+                refilled_at: None,
             },
             stale_until: None,
-            first_checkpoint: now + FIRST_CHECKPOINT.mul_f64(rng.random_range(1.0..3.0)),
-            kept_house: None,
-            started: now,
-            caught: None,
-            fetched: None,
-            folded: None,
-            checkpointed: None,
+            checkpoint_not_before: now + CHECKPOINT_DELAY.mul_f64(rng.random_range(1.0..3.0)),
+            rebalanced_at: None,
+            started_at: now,
+            caught_up_at: None,
+            ledger_fetched_at: None,
+            last_folded_at: None,
+            checkpointed_at: None,
             config_stream: ConfigStream::default(),
             quarantine: Quarantine::new(),
             orders: Orders::default(),
-            table: None,
+            route_table: None,
             table_watch: TableWatch::default(),
-            drained: DrainedDomains::default(),
-            cold: ColdEndpoints::default(),
-            funds: GrantBudgets::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
+            drained_domains: DrainedDomains::default(),
+            cold_endpoints: ColdEndpoints::default(),
+            grant_budgets: GrantBudgets::new(now, tuning.vm.clone(), me, tuning.lean, tuning.clock),
             tuning,
             rng,
         }
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Handles one event and returns the effects to be carried out.
     pub(crate) fn handle(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
-            Event::Arrived(arrival) => self.handle_arrival(now, *arrival),
-            Event::HungUp(id) => self.handle_disconnect(now, id),
-            Event::Started(id) => self.record_first_token(now, id),
-            Event::Ended(id, end) => self.handle_run_end(now, id, end),
+            Event::RequestArrived(arrival) => self.handle_arrival(now, *arrival),
+            Event::CallerGone(id) => self.handle_disconnect(now, id),
+            Event::AnswerStarted(id) => self.record_first_token(now, id),
+            Event::RunEnded(id, end) => self.handle_run_end(now, id, end),
             Event::Appended {
                 router,
                 sequence,
@@ -303,80 +303,85 @@
             } => self.handle_appended(now, router, sequence, landed),
             Event::LedgerEntries(entries) => self.fold_ledger(now, entries),
             Event::ConfigEntries(entries) => self.fold_config(now, entries),
-            Event::LedgerGone => self.fetch_ledger(now),
-            Event::Checkpointed { as_of, first } => self.append_checkpoint_record(as_of, first),
+            Event::LedgerTruncated => self.fetch_ledger(now),
+            Event::CheckpointWritten { as_of, first } => self.append_checkpoint_record(as_of, first),
             Event::CaughtUp => self.handle_caught_up(now),
             Event::LedgerSnapshot(ledger) => self.adopt_ledger(now, *ledger),
             Event::ConfigSnapshot(snapshot) => self.adopt_config(now, *snapshot),
-            Event::VmList(list) => self.vm_list(now, list),
-            Event::Heard(beat) => self.heard(now, beat),
-            Event::Unheard(vm, silence) => self.members.unheard(now, vm, silence),
-            Event::Keep(id, batches) => self.store_replica(id, batches),
-            Event::Kept {
+            Event::VmList(list) => self.handle_vm_list(now, list),
+            Event::HeartbeatReceived(beat) => self.handle_heartbeat(now, beat),
+            Event::HeartbeatFailed(vm, failure) => self.members.record_failure(now, vm, failure),
+            Event::KeepBatches(id, batches) => self.store_replica(id, batches),
+            Event::BatchesKept {
                 peer,
                 router,
                 last,
                 records,
             } => self.handle_replica_ack(now, peer, router, (last, records)),
-            Event::Unkept(peer) => self.drop_replica(&peer),
-            Event::Checked(vm, passed) => self.handle_endpoint_check(now, &vm, passed),
-            Event::Load(vm, load) => self.handle_endpoint_load(now, &vm, &load),
-            Event::Cache(vm, events) => self.handle_cache_events(&vm, &events),
+            Event::BatchesRejected(peer) => self.drop_replica(&peer),
+            Event::HealthChecked(vm, passed) => self.handle_endpoint_check(now, &vm, passed),
+            Event::EndpointLoad(vm, load) => self.handle_endpoint_load(now, &vm, &load),
+            Event::CacheEvents(vm, events) => self.handle_cache_events(&vm, &events),
             Event::Admin(id, request) => self.handle_admin(now, id, request),
             Event::Table(table) => self.apply_table(now, table),
             Event::DrainedDomains(drained) => self.update_drained(now, &drained),
-            Event::Cold(words) => self.handle_cold_reports(now, &words),
-            Event::TableUnsent(vm) => self.handle_table_unsent(now, &vm),
+            Event::ColdEndpoints(periods) => self.handle_cold_reports(now, &periods),
+            Event::TableFetchFailed(vm) => self.handle_table_unsent(now, &vm),
             Event::TableConfirmed(at) => self.confirm_table(now, at),
             Event::Grants(event) => self.handle_grant_event(now, event),
-            Event::Reads(reading) => self.record_peer_prompt(now, &reading),
-            Event::Given(id, gift) => self.accept_gift(id, &gift),
-            Event::Taken(gift, taken) => self.funds.finish_transfer(&gift, taken),
-            Event::LoanAsked(id, ask) => self.handle_loan_ask(now, id, &ask),
-            Event::Lent(ask, amount) => self.funds.record_loan_answer(now, &ask, amount),
-            Event::Tuned(tuning) => self.tune(*tuning),
+            Event::PromptNotice(notice) => self.record_peer_prompt(now, &notice),
+            Event::TransferReceived(id, transfer) => self.accept_gift(id, &transfer),
+            Event::TransferAnswered(transfer, taken) => {
+                self.grant_budgets.finish_transfer(&transfer, taken)
+            }
+            Event::LoanRequested(id, request) => self.handle_loan_ask(now, id, &request),
+            Event::LoanAnswered(request, amount) => {
+                self.grant_budgets.record_loan_answer(now, &request, amount)
+            }
+            Event::SettingsChanged(tuning) => self.apply_tuning(*tuning),
             Event::Drain => self.begin_drain(now),
-            Event::Paused => self.paused(now),
+            Event::Paused => self.handle_pause(now),
             Event::Tick => self.tick(now),
         }
         self.flush(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns whether the log leaves this router's records without a verdict.
+    /// Returns whether the log has left a batch unacknowledged for so long that it counts as an outage.
     pub(crate) fn in_outage(&self, now: Instant) -> bool {
         self.appender
             .stalled_since()
-            .is_some_and(|since| now >= since + self.tuning.outage)
+            .is_some_and(|since| now >= since + self.tuning.outage_after)
     }
 
-    /// Returns whether new requests are taken.
-    pub(crate) fn serving(&self) -> bool {
+    /// Returns whether new requests are accepted.
+    pub(crate) fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Returns when it must be called though nothing happens.
-    pub(crate) fn wake(&self) -> Option<Instant> {
+    /// Returns when the core must be called next if no event arrives before.
+    pub(crate) fn next_wake(&self) -> Option<Instant> {
         self.appender.next_poll()
     }
 
-    /// Returns the offset that follows the last record folded.
+    /// Returns the offset after the last ledger record applied.
     pub(crate) fn ledger_next(&self) -> Offset {
         self.ledger.next()
     }
 
-    /// Returns the ledger's state, for a peer.
-    pub(crate) fn ledger_bytes(&self) -> Vec<u8> {
+    /// Encodes the ledger's state for a peer.
+    pub(crate) fn encode_ledger(&self) -> Vec<u8> {
         postcard::to_stdvec(&self.ledger).expect("a ledger can be encoded")
     }
 
-    /// Returns whether what arrived at a time may have lain in a socket while the process was stopped.
+    /// Returns whether a request that arrived at this time may have been in a socket buffer while the process was
+    /// suspended.
     pub(crate) fn is_stale(&self, arrived: Instant) -> bool {
         self.stale_until.is_some_and(|until| arrived < until)
     }
 
-    /// Takes over settings that may change while the router runs: times and limits, but not what others know it by.
-    fn tune(&mut self, tuning: Tuning) {
+    /// Applies changed time-outs and limits. The router's identity and address stay, since others know it by them.
+    fn apply_tuning(&mut self, tuning: Tuning) {
         self.tuning = Tuning {
             vm: self.tuning.vm.clone(),
             domain: self.tuning.domain.clone(),
@@ -384,25 +389,26 @@
             clock: self.tuning.clock,
             ..tuning
         };
-        self.share_retries();
+        self.update_retry_limit();
     }
 
-    /// Takes this router's part of the retries that all routers may make together, where the settings bound them.
-    pub(crate) fn share_retries(&mut self) {
+    /// Sets this router's share of the retries of all routers, where the settings limit them.
+    pub(crate) fn update_retry_limit(&mut self) {
         if let Accounting::Grants(tuning) = self.tuning.accounting {
-            let routers = self.members.roster.serving().len() as f64;
-            let floor = tuning.spare * RETRY_PART / routers;
-            self.retries.set_limits(tuning.retries * RETRY_PART, floor);
+            let routers = self.members.vm_index.serving_vms().len() as f64;
+            let floor = tuning.retries_per_sec * RETRY_SHARE / routers;
+            self.retry_budget
+                .set_limits(tuning.retry_ratio * RETRY_SHARE, floor);
         }
     }
 
-    /// Begins to refuse what lay in the sockets while the process was stopped.
-    fn paused(&mut self, now: Instant) {
-        self.stale_until = Some(now + STALE);
-        self.members.forgive(now);
+    /// Starts to refuse requests that were in the socket buffers while the process was suspended.
+    fn handle_pause(&mut self, now: Instant) {
+        self.stale_until = Some(now + STALE_PERIOD);
+        self.members.reset_silence(now);
     }
 
-    /// Sends off what has gathered.
+    /// Sends the batch or the grant proposals that are due.
     fn flush(&mut self, now: Instant) {
         if let Accounting::Grants(_) = self.tuning.accounting {
             self.step_budgets(now);
@@ -427,23 +433,23 @@
         }
     }
 
-    /// Does what time asks for where budgets are kept by grants.
+    /// Runs the periodic tasks of a router whose budgets are granted.
     fn tick_grants(&mut self, now: Instant, tuning: GrantTuning) {
         self.expire_requests(now);
         self.leave_silent_endpoints(now);
-        self.beat(now);
+        self.send_heartbeat(now);
         self.fetch_table(now);
         self.tick_pools(now);
-        self.continue_drain(now, tuning.linger);
+        self.continue_drain(now, tuning.min_drain);
     }
 
-    /// Does what time asks for where budgets are kept by the ledger.
+    /// Runs the periodic tasks of a router whose budgets are in the ledger.
     fn tick_ledger(&mut self, now: Instant) {
         self.catch_up(now);
         self.expire_requests(now);
         self.recheck_contended(now);
         self.rebalance_holdings(now);
-        self.beat(now);
+        self.send_heartbeat(now);
         self.close_dead_routers(now);
         self.replicate(now);
         self.tick_pools(now);
--- a/src/router/drained.rs
+++ b/src/router/drained.rs
@@ -36,10 +36,10 @@
 impl Core {
     /// Applies a set of drained failure domains, from the store or from a peer, if it is newer than the one in force.
     pub(crate) fn update_drained(&mut self, now: Instant, new: &DrainedDomains) {
-        if new.as_of <= self.drained.as_of {
+        if new.as_of <= self.drained_domains.as_of {
             return;
         }
-        let old = std::mem::replace(&mut self.drained, new.clone());
+        let old = std::mem::replace(&mut self.drained_domains, new.clone());
         if old.domains == new.domains {
             return;
         }
@@ -69,7 +69,7 @@
         for (id, pool) in &self.pools {
             let warmup = self.warmup(id);
             for vm in pool.endpoints_in(domain) {
-                self.cold.mark_restored(now, vm, warmup);
+                self.cold_endpoints.mark_restored(now, vm, warmup);
             }
         }
     }
--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -14,7 +14,7 @@
 use crate::decide::ConsistencyMode;
 use crate::ids::VmId;
 use crate::router::core::Core;
-use crate::router::event::Silence;
+use crate::router::event::PeerFailure;
 use crate::settings::EndMarker;
 
 /// Divisor of the silence time-out for a router whose VM refuses connections, since nothing listens there. Heartbeats
@@ -32,12 +32,12 @@
 impl Core {
     /// Returns how long a router may be silent before it is closed.
     pub(crate) fn silence_timeout(&self, now: Instant, vm: &VmId) -> Duration {
-        let silence = self.tuning.silence;
-        let seen = self.members.silence(now, vm);
+        let silence = self.tuning.silence_timeout;
+        let seen = self.members.peer_failure(now, vm);
         match (seen, self.members.is_listed(vm)) {
-            (Some(Silence::Refused), _) => silence / REFUSED_DIVISOR,
+            (Some(PeerFailure::Refused), _) => silence / REFUSED_DIVISOR,
             (_, false) => silence,
-            (Some(Silence::Unreachable), true) => self.tuning.parted.max(silence),
+            (Some(PeerFailure::Unreachable), true) => self.tuning.partition_timeout.max(silence),
             (_, true) => self.mute_timeout(),
         }
     }
@@ -49,14 +49,17 @@
     /// its replies, in which case it is still serving its callers. `Lean` decides which case takes precedence.
     fn mute_timeout(&self) -> Duration {
         match self.tuning.lean {
-            ConsistencyMode::Strict => self.tuning.silence * MUTE_FACTOR,
-            ConsistencyMode::Available => self.tuning.parted.max(self.tuning.silence),
+            ConsistencyMode::Strict => self.tuning.silence_timeout * MUTE_FACTOR,
+            ConsistencyMode::Available => self
+                .tuning
+                .partition_timeout
+                .max(self.tuning.silence_timeout),
         }
     }
 
     /// Returns whether a run may start although its claim can't be appended to the log.
     pub(crate) fn may_run_unclaimed(&self, now: Instant) -> bool {
-        let since = now.saturating_duration_since(self.members.log_heard);
+        let since = now.saturating_duration_since(self.members.log_answered_at);
         let limit = self.isolation_limit(now);
         self.can_replicate(now) && limit.is_none_or(|limit| since < limit)
     }
@@ -66,18 +69,18 @@
     fn isolation_limit(&self, now: Instant) -> Option<Duration> {
         let silent: Vec<_> = self
             .members
-            .roster
+            .vm_index
             .peers()
             .iter()
-            .filter(|peer| !self.members.is_heard(now, &peer.vm))
+            .filter(|peer| !self.members.heard_recently(now, &peer.vm))
             .cloned()
             .collect();
         let unreachable = |peer: &crate::router::Peer| {
-            self.members.silence(now, &peer.vm) == Some(Silence::Unreachable)
+            self.members.peer_failure(now, &peer.vm) == Some(PeerFailure::Unreachable)
         };
         let timeout = match () {
             () if silent.is_empty() => return None,
-            () if silent.iter().all(unreachable) => self.tuning.parted,
+            () if silent.iter().all(unreachable) => self.tuning.partition_timeout,
             () => self.mute_timeout(),
         };
         Some(timeout * STOP_QUARTERS / 4)
@@ -88,16 +91,16 @@
     /// Without a replica no answer could be completed before the log is back, so a run would be of no use to its
     /// caller, who is better served by another router.
     fn can_replicate(&self, now: Instant) -> bool {
-        let peers = self.members.roster.peers();
+        let peers = self.members.vm_index.peers();
         let mut peers = peers.iter();
         let replica =
-            peers.any(|p| self.counts_as_replica(&p.vm) && self.members.is_heard(now, &p.vm));
-        let replica = replica || self.tuning.marker == EndMarker::Hold;
+            peers.any(|p| self.counts_as_replica(&p.vm) && self.members.heard_recently(now, &p.vm));
+        let replica = replica || self.tuning.end_marker == EndMarker::Hold;
         match self.tuning.lean {
             ConsistencyMode::Available => replica,
             ConsistencyMode::Strict => {
                 let mut open_peers = self.open_peers().into_iter();
-                replica && open_peers.all(|vm| self.members.is_heard(now, &vm))
+                replica && open_peers.all(|vm| self.members.heard_recently(now, &vm))
             }
         }
     }
--- a/src/router/ledger_stream.rs
+++ b/src/router/ledger_stream.rs
@@ -55,8 +55,8 @@
 
     fn fold_batch(&mut self, now: Instant, entry: &Entry, batch: &Batch) {
         let verdicts = self.ledger.apply(entry.offset, entry.at, batch);
-        self.folded = Some(now);
-        self.members.appended(now, batch.router);
+        self.last_folded_at = Some(now);
+        self.members.batch_appended(now, batch.router);
         self.learn_crashes(now, batch, &verdicts);
         self.record_claims(now, batch);
         self.answer_shortage(now, batch, &verdicts);
@@ -86,14 +86,14 @@
                 team,
                 credit,
             } => {
-                if let Some(purse) = self.purses.get_mut(&team) {
+                if let Some(purse) = self.ledger_budgets.get_mut(&team) {
                     purse.end_credit(credit);
                 }
                 self.bill_verdict(now, request, &verdict);
             }
             Ticket::Draw(team) => self.handle_draw_verdict(now, &team, &verdict),
             Ticket::Return(team, amount) => {
-                if let Some(purse) = self.purses.get_mut(&team) {
+                if let Some(purse) = self.ledger_budgets.get_mut(&team) {
                     purse.end_debit(amount);
                 }
             }
@@ -118,7 +118,7 @@
 
     /// Asks peers for the ledger if the log does not provide it, as in an outage, and opens when possible.
     pub(crate) fn catch_up(&mut self, now: Instant) {
-        if self.phase == Phase::CatchingUp && now >= self.started + FETCH_INTERVAL {
+        if self.phase == Phase::CatchingUp && now >= self.started_at + FETCH_INTERVAL {
             self.fetch_ledger(now);
         }
         self.open_after_predecessor(now);
@@ -126,11 +126,11 @@
 
     /// Asks peers for the ledger, at most once per [`FETCH_INTERVAL`].
     pub(crate) fn fetch_ledger(&mut self, now: Instant) {
-        if self.fetched.is_some_and(|at| now < at + FETCH_INTERVAL) {
+        if self.ledger_fetched_at.is_some_and(|at| now < at + FETCH_INTERVAL) {
             return;
         }
-        self.fetched = Some(now);
-        let peers = self.members.roster.peers().to_vec();
+        self.ledger_fetched_at = Some(now);
+        let peers = self.members.vm_index.peers().to_vec();
         self.effects.push(Effect::Fetch(peers));
     }
 
@@ -139,8 +139,8 @@
         if self.phase != Phase::CatchingUp {
             return;
         }
-        self.members.forgive(now);
-        self.caught = Some(now);
+        self.members.reset_silence(now);
+        self.caught_up_at = Some(now);
         self.open_after_predecessor(now);
     }
 
@@ -150,7 +150,7 @@
     /// Bills appended after the opening would be void, so that complete answers would stay unbilled. The peers append
     /// the bills and close the previous incarnation as soon as they hear from this router.
     pub(crate) fn open_after_predecessor(&mut self, now: Instant) {
-        let Some(caught) = self.caught else {
+        let Some(caught) = self.caught_up_at else {
             return;
         };
         let mut routers = self.ledger.routers();
@@ -159,7 +159,7 @@
         let waiting =
             has_predecessor && !self.open_peers().is_empty() && now < caught + PREDECESSOR_TIMEOUT;
         if !waiting {
-            self.caught = None;
+            self.caught_up_at = None;
             self.open();
         }
     }
@@ -195,7 +195,7 @@
         warn!(event = "closed", %old, new = %self.me);
         let fresh = Appender::new(self.me, self.tuning.pace);
         let abandoned = std::mem::replace(&mut self.appender, fresh);
-        self.purses.clear();
+        self.ledger_budgets.clear();
         self.clear_replicas();
         let draining = matches!(self.phase, Phase::Draining { .. });
         if draining {
@@ -224,7 +224,7 @@
         }
         info!(event = "ledger-adopted", next = %ledger.next());
         self.ledger = ledger;
-        self.members.forgive(now);
+        self.members.reset_silence(now);
         if self.phase != Phase::CatchingUp {
             // The verdicts of the records that this skips are not available, so the outcome of anything that waits
             // for one is unknown. Under a new incarnation, all of it is void or settled.
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -1,4 +1,4 @@
-//! The other routers: who is there, who is silent, and where callers are sent.
+//! The other routers: their heartbeats and failures, the batches they left here, and the addresses advised to callers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,144 +20,150 @@
 use crate::router::effect::Peer;
 use crate::router::event::Heartbeat;
 use crate::router::event::KeptBatches;
-use crate::router::event::Silence;
+use crate::router::event::PeerFailure;
 use crate::router::peer_budgets::BudgetReport;
-use crate::router::roster::Roster;
+use crate::router::vm_index::VmIndex;
 use crate::vms::VmList;
 use crate::vms::VmState;
 
-/// How many heartbeats in a row must find that nothing listens: one may meet a router that restarts.
-const REFUSALS: u32 = 2;
+/// Connection refusals in a row after which a router counts as dead; a single one may be a restart.
+const MIN_REFUSALS: u32 = 2;
 
-/// How old word from the log or from a peer may be to count as fresh.
-pub(crate) const FRESH: Duration = Duration::from_secs(3);
+/// Age up to which an answer of the log or a heartbeat counts as fresh.
+pub(crate) const FRESH_PERIOD: Duration = Duration::from_secs(3);
 
-/// How many peers hear from a router at each heartbeat. A fleet of up to thirteen hears from all at once; in a larger one the
-/// peers take turns, so that what heartbeats cost a VM does not grow with the fleet. With 64 VMs of a tenth of a core, all
-/// at once were 250 calls a second at each.
-const AT_ONCE: usize = 12;
+/// Number of peers that get each heartbeat. In a fleet of up to thirteen routers all peers get every one; in a larger
+/// fleet they take turns, so that the cost of heartbeats at each VM does not grow with the fleet. With 64 VMs of a
+/// tenth of a core each, heartbeats to all peers were 250 calls a second at every VM.
+const HEARTBEAT_FANOUT: usize = 12;
 
-/// How many rounds of heartbeats a peer's word counts as fresh: one of its calls may be lost, and ours bring its word too.
-const ROUNDS: u32 = 2;
+/// Number of rounds for which a heartbeat counts as fresh: one call may be lost, and answers to our own heartbeats
+/// carry the peer's as well.
+const FRESH_ROUNDS: u32 = 2;
 
-/// How often a router that some peer cannot hear shows itself in the log.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+/// Interval between the empty batches that a router appends while some peer does not answer.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A peer's silence.
+/// Consecutive failures of one kind to reach a peer.
 #[derive(Clone, Copy, Debug)]
-struct Unheard {
-    /// When it last did not answer.
+struct FailureStreak {
+    /// Time of the last failure.
     at: Instant,
-    /// In what way.
-    silence: Silence,
-    /// How often in a row in this way.
+    failure: PeerFailure,
     count: u32,
 }
 
-/// What a router knows of the others.
+/// What a router knows of the other routers.
 #[derive(Debug)]
 pub(crate) struct Members {
-    pub(crate) roster: Roster,
-    heard: IndexMap<VmId, (Instant, Heartbeat)>,
-    unheard: IndexMap<VmId, Unheard>,
-    /// When each incarnation last gave a sign of life.
-    pub(crate) signs: IndexMap<Incarnation, Instant>,
-    pub(crate) kept: IndexMap<Incarnation, KeptBatches>,
+    pub(crate) vm_index: VmIndex,
+    heartbeats: IndexMap<VmId, (Instant, Heartbeat)>,
+    failures: IndexMap<VmId, FailureStreak>,
+    /// Time of the last heartbeat or batch of each incarnation.
+    pub(crate) last_seen: IndexMap<Incarnation, Instant>,
+    pub(crate) kept_batches: IndexMap<Incarnation, KeptBatches>,
     pub(crate) closing: IndexMap<Incarnation, Closing>,
-    relayed: IndexMap<VmId, Instant>,
-    pub(crate) log_heard: Instant,
-    beaten: Option<Instant>,
-    /// Whose turn to hear from this router is next.
-    turn: usize,
-    /// How old a peer's word, or its silence, may be and count.
-    fresh: Duration,
-    shown: Instant,
+    config_sent: IndexMap<VmId, Instant>,
+    pub(crate) log_answered_at: Instant,
+    heartbeat_sent: Option<Instant>,
+    /// Position in the peer list at which the next round of heartbeats starts.
+    next_peer: usize,
+    /// Age up to which a heartbeat or a failure of a peer counts.
+    fresh_period: Duration,
+    keep_alive_sent: Instant,
 }
 
 impl Members {
     pub(crate) fn new(now: Instant, me: VmId) -> Self {
         Self {
-            roster: Roster::new(me),
-            heard: IndexMap::new(),
-            unheard: IndexMap::new(),
-            signs: IndexMap::new(),
-            kept: IndexMap::new(),
+            vm_index: VmIndex::new(me),
+            heartbeats: IndexMap::new(),
+            failures: IndexMap::new(),
+            last_seen: IndexMap::new(),
+            kept_batches: IndexMap::new(),
             closing: IndexMap::new(),
-            relayed: IndexMap::new(),
-            log_heard: now,
-            beaten: None,
-            turn: 0,
-            fresh: FRESH,
-            shown: now,
+            config_sent: IndexMap::new(),
+            log_answered_at: now,
+            heartbeat_sent: None,
+            next_peer: 0,
+            fresh_period: FRESH_PERIOD,
+            keep_alive_sent: now,
         }
     }
 
-    /// Counts all silence from now on.
+    /// Restarts the silence of every router from now.
     ///
-    /// While this router could not read the log, others may have shown themselves there; closing them for a silence
-    /// that was its own would take down the living.
-    pub(crate) fn forgive(&mut self, now: Instant) {
-        self.signs.values_mut().for_each(|at| *at = now);
+    /// While this router could not read the log, others may have appended to it; closing them for a silence that was
+    /// due to this router's own outage would take down live routers.
+    pub(crate) fn reset_silence(&mut self, now: Instant) {
+        self.last_seen.values_mut().for_each(|at| *at = now);
     }
 
-    /// Notes that the log answered.
+    /// Records that the log answered.
     pub(crate) fn log_answered(&mut self, now: Instant) {
-        if now >= self.log_heard + FRESH {
-            self.forgive(now);
+        if now >= self.log_answered_at + FRESH_PERIOD {
+            self.reset_silence(now);
         }
-        self.log_heard = now;
+        self.log_answered_at = now;
     }
 
-    /// Notes a batch of a router in the log.
-    pub(crate) fn appended(&mut self, now: Instant, router: Incarnation) {
-        self.signs.insert(router, now);
+    /// Records that a router's batch was read from the log.
+    pub(crate) fn batch_appended(&mut self, now: Instant, router: Incarnation) {
+        self.last_seen.insert(router, now);
     }
 
-    /// Notes that a peer did not answer.
-    pub(crate) fn unheard(&mut self, now: Instant, vm: VmId, silence: Silence) {
-        let row = self.unheard.get(&vm).filter(|u| u.silence == silence);
-        let count = row.map_or(0, |u| u.count) + 1;
-        let unheard = Unheard {
+    /// Records that a peer did not answer.
+    pub(crate) fn record_failure(&mut self, now: Instant, vm: VmId, failure: PeerFailure) {
+        let row = self.failures.get(&vm).filter(|f| f.failure == failure);
+        let count = row.map_or(0, |f| f.count) + 1;
+        let failures = FailureStreak {
             at: now,
-            silence,
+            failure,
             count,
         };
-        self.unheard.insert(vm, unheard);
+        self.failures.insert(vm, failures);
     }
 
-    /// Returns in what way a peer is silent, if it is; one refusal may have met a router that restarts.
-    pub(crate) fn silence(&self, now: Instant, vm: &VmId) -> Option<Silence> {
-        let unheard = self.unheard.get(vm).filter(|u| now < u.at + self.fresh)?;
-        match unheard.silence {
-            Silence::Refused if unheard.count < REFUSALS => Some(Silence::Mute),
-            silence => Some(silence),
+    /// Returns how a peer currently fails to answer, if it does. A single refused connection counts as `Mute`, since
+    /// the router may be restarting.
+    pub(crate) fn peer_failure(&self, now: Instant, vm: &VmId) -> Option<PeerFailure> {
+        let failures = self
+            .failures
+            .get(vm)
+            .filter(|f| now < f.at + self.fresh_period)?;
+        match failures.failure {
+            PeerFailure::Refused if failures.count < MIN_REFUSALS => Some(PeerFailure::Mute),
+            failure => Some(failure),
         }
     }
 
-    /// Returns whether a peer was heard of late.
-    pub(crate) fn is_heard(&self, now: Instant, vm: &VmId) -> bool {
-        self.heard
+    /// Returns whether a fresh heartbeat of a peer is known.
+    pub(crate) fn heard_recently(&self, now: Instant, vm: &VmId) -> bool {
+        self.heartbeats
             .get(vm)
-            .is_some_and(|(at, _)| now < *at + self.fresh)
+            .is_some_and(|(at, _)| now < *at + self.fresh_period)
     }
 
-    /// Returns whether another incarnation runs on a router's VM, so that it is dead.
+    /// Returns whether a fresh heartbeat shows another incarnation on a router's VM, which means that this one is dead.
     pub(crate) fn is_replaced(&self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
-        let heard = self.heard.get(vm).filter(|(at, _)| now < *at + self.fresh);
+        let heard = self
+            .heartbeats
+            .get(vm)
+            .filter(|(at, _)| now < *at + self.fresh_period);
         heard.is_some_and(|(_, beat)| beat.router != router)
     }
 
-    /// Keeps a peer's batches behind those that it left here before; returns whether it could.
+    /// Stores a peer's batches after those that it left here before; returns whether that was possible.
     ///
-    /// `folded` is the number of the last one that the log has. With a gap behind that, or behind what is kept, no batch
-    /// after the gap would count when the peer is dead.
-    pub(crate) fn keep(&mut self, new: KeptBatches, folded: Sequence) -> bool {
-        let old = self.kept.get(&new.router);
+    /// `folded` is the number of the peer's last batch in the log. If there were a gap after that, or after the batches
+    /// stored here, no batch behind the gap would count once the peer is dead.
+    pub(crate) fn keep_batches(&mut self, new: KeptBatches, folded: Sequence) -> bool {
+        let old = self.kept_batches.get(&new.router);
         if old.is_some_and(|old| (old.last, old.records) > (new.last, new.records)) {
             return true;
         }
         let before = match old {
-            Some(old) if old.last >= new.after => old.upto(new.after),
+            Some(old) if old.last >= new.after => old.up_to(new.after),
             _ if folded >= new.after => &[],
             _ => return false,
         };
@@ -167,59 +173,58 @@
             batches,
             ..new
         };
-        self.kept.insert(kept.router, kept);
+        self.kept_batches.insert(kept.router, kept);
         true
     }
 
-    /// Returns whether a batch that is kept here claims a request.
+    /// Returns whether a batch stored here claims a request.
     pub(crate) fn keeps_claim(&self, key: &RequestKey) -> bool {
-        let batches = self.kept.values().flat_map(|kept| &kept.batches);
+        let batches = self.kept_batches.values().flat_map(|kept| &kept.batches);
         let mut records = batches
             .filter_map(|bytes| decode(bytes).ok())
             .flat_map(|batch| batch.records);
         records.any(|record| matches!(record, Record::Claim(claim) if claim.key == *key))
     }
 
-    /// Returns how many routers' batches are kept here.
-    pub(crate) fn kept(&self) -> usize {
-        self.kept.len()
+    /// Returns the number of routers whose batches are stored here.
+    pub(crate) fn kept_count(&self) -> usize {
+        self.kept_batches.len()
     }
 
-    /// Returns the failure domain of a VM.
     pub(crate) fn domain(&self, vm: &VmId) -> Option<&DomainId> {
-        self.roster.entry(vm).map(|entry| &entry.domain)
+        self.vm_index.entry(vm).map(|entry| &entry.domain)
     }
 
-    /// Returns whether the VM list shows a VM as live.
     pub(crate) fn is_listed(&self, vm: &VmId) -> bool {
-        self.roster
+        self.vm_index
             .entry(vm)
             .is_some_and(|e| e.state == VmState::Live)
     }
 
-    /// Returns the peers whose turn it is to hear from this router: all of them the first time, so that a router that
-    /// starts is known at once.
-    fn next_told(&mut self, heartbeat: Duration) -> Vec<Peer> {
-        let peers = self.roster.peers();
-        let rounds = peers.len().div_ceil(AT_ONCE);
+    /// Returns the peers that get the next heartbeat. The first one goes to all of them, so that a router that starts
+    /// is known at once.
+    fn next_recipients(&mut self, heartbeat: Duration) -> Vec<Peer> {
+        let peers = self.vm_index.peers();
+        let rounds = peers.len().div_ceil(HEARTBEAT_FANOUT);
         let round = heartbeat.saturating_mul(u32::try_from(rounds).unwrap_or(u32::MAX));
-        self.fresh = round.saturating_mul(ROUNDS).max(FRESH);
-        if self.beaten.is_none() || peers.len() <= AT_ONCE {
+        self.fresh_period = round.saturating_mul(FRESH_ROUNDS).max(FRESH_PERIOD);
+        if self.heartbeat_sent.is_none() || peers.len() <= HEARTBEAT_FANOUT {
             return peers.to_vec();
         }
-        let from = self.turn % peers.len();
-        self.turn = from + AT_ONCE;
+        let from = self.next_peer % peers.len();
+        self.next_peer = from + HEARTBEAT_FANOUT;
         let round = peers.iter().cycle().skip(from);
-        round.take(AT_ONCE).cloned().collect()
+        round.take(HEARTBEAT_FANOUT).cloned().collect()
     }
 
-    /// Returns the routers heard of lately that take requests and stay.
-    pub(crate) fn advisable(&self, now: Instant) -> Vec<decide::Peer> {
-        self.heard
+    /// Returns the routers with a fresh heartbeat that accept requests. Those that the VM list shows as leaving are
+    /// marked.
+    pub(crate) fn advisable_peers(&self, now: Instant) -> Vec<decide::Peer> {
+        self.heartbeats
             .values()
-            .filter(|(at, beat)| now < *at + self.fresh && beat.serving)
+            .filter(|(at, beat)| now < *at + self.fresh_period && beat.serving)
             .filter_map(|(_, beat)| {
-                let entry = self.roster.entry(&beat.vm)?;
+                let entry = self.vm_index.entry(&beat.vm)?;
                 Some(decide::Peer {
                     vm: beat.vm.clone(),
                     domain: entry.domain.clone(),
@@ -231,13 +236,13 @@
             .collect()
     }
 
-    /// Returns the routers heard of lately, and what they said of their budgets.
-    pub(crate) fn budget_words(&self, now: Instant) -> Vec<BudgetReport> {
+    /// Returns the budget reports in the fresh heartbeats of peers.
+    pub(crate) fn budget_reports(&self, now: Instant) -> Vec<BudgetReport> {
         let fresh = |vm: &VmId| {
-            let (at, beat) = self.heard.get(vm)?;
-            (now < *at + self.fresh).then_some(beat)
+            let (at, beat) = self.heartbeats.get(vm)?;
+            (now < *at + self.fresh_period).then_some(beat)
         };
-        let peers = self.roster.peers();
+        let peers = self.vm_index.peers();
         let words = peers.iter().filter_map(|peer| {
             Some(BudgetReport {
                 peer: peer.clone(),
@@ -247,135 +252,140 @@
         words.collect()
     }
 
-    /// Returns whether some peer of the list did not answer of late.
-    fn any_unheard(&self, now: Instant) -> bool {
-        self.unheard
-            .iter()
-            .any(|(vm, unheard)| now < unheard.at + self.fresh && self.roster.entry(vm).is_some())
+    /// Returns whether a peer in the VM list failed to answer recently.
+    fn any_failing(&self, now: Instant) -> bool {
+        self.failures.iter().any(|(vm, failures)| {
+            now < failures.at + self.fresh_period && self.vm_index.entry(vm).is_some()
+        })
     }
 }
 
 impl Core {
-    /// Takes in the VM list.
-    pub(crate) fn vm_list(&mut self, now: Instant, list: VmList) {
-        if !self.members.roster.take(list) {
+    /// Applies a new VM list.
+    pub(crate) fn handle_vm_list(&mut self, now: Instant, list: VmList) {
+        if !self.members.vm_index.update(list) {
             return;
         }
-        self.take_routers();
+        self.update_routers();
         self.rebuild_pools(now);
-        self.share_retries();
+        self.update_retry_limit();
         if let Accounting::Grants(_) = self.tuning.accounting {
             self.serve_with_grants();
         }
     }
 
-    /// Takes over who keeps budgets, from the routers of the VM list.
-    fn take_routers(&mut self) {
-        let roster = &self.members.roster;
-        self.funds
-            .take_routers(&self.tuning.vm, roster.candidates(), &roster.peers());
+    /// Updates which routers own budgets, from the VM list.
+    fn update_routers(&mut self) {
+        let vm_index = &self.members.vm_index;
+        self.grant_budgets
+            .take_routers(&self.tuning.vm, vm_index.candidates(), &vm_index.peers());
     }
 
-    /// Takes in a peer's word.
-    pub(crate) fn heard(&mut self, now: Instant, beat: Heartbeat) {
-        self.members.signs.insert(beat.router, now);
-        self.members.unheard.swap_remove(&beat.vm);
-        self.funds.handle_heartbeat(now, &beat);
-        self.relay_config(now, &beat);
+    /// Applies a peer's heartbeat.
+    pub(crate) fn handle_heartbeat(&mut self, now: Instant, beat: Heartbeat) {
+        self.members.last_seen.insert(beat.router, now);
+        self.members.failures.swap_remove(&beat.vm);
+        self.grant_budgets.handle_heartbeat(now, &beat);
+        self.send_config(now, &beat);
         self.note_peer_table(now, &beat);
         self.update_drained(now, &beat.drained);
-        let before = self.members.heard.insert(beat.vm.clone(), (now, beat));
+        let before = self.members.heartbeats.insert(beat.vm.clone(), (now, beat));
         if before.is_none() {
-            self.funds.request_refresh();
+            self.grant_budgets.request_refresh();
         }
     }
 
-    /// Sends the configuration to a peer that is behind, as one that cannot read the log is.
-    fn relay_config(&mut self, now: Instant, beat: &Heartbeat) {
+    /// Sends the configuration to a peer that has an older one, as a peer that cannot read the log does.
+    fn send_config(&mut self, now: Instant, beat: &Heartbeat) {
         let recent = self
             .members
-            .relayed
+            .config_sent
             .get(&beat.vm)
             .is_some_and(|at| now < *at + Duration::from_secs(1));
         if beat.config >= self.config.next() || recent {
             return;
         }
-        let Some(peer) = self.members.roster.peer(&beat.vm).cloned() else {
+        let Some(peer) = self.members.vm_index.peer(&beat.vm).cloned() else {
             return;
         };
-        self.members.relayed.insert(beat.vm.clone(), now);
+        self.members.config_sent.insert(beat.vm.clone(), now);
         let snapshot = Box::new(self.config.snapshot());
-        self.effects.push(Effect::Relay(snapshot, peer));
+        self.effects.push(Effect::SendConfig(snapshot, peer));
     }
 
-    /// Returns this router's own word.
+    /// Returns this router's current heartbeat.
     pub(crate) fn heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
             vm: self.tuning.vm.clone(),
             router: self.me,
-            serving: self.serving(),
+            serving: self.is_serving(),
             load: self.load(),
             config: self.config.next(),
             table: self.table_version(),
-            drained: self.drained.clone(),
+            drained: self.drained_domains.clone(),
             clock: self.tuning.clock.at(now).wall,
             purses: match self.tuning.accounting {
-                Accounting::Grants(_) => self.funds.budget_report(now),
+                Accounting::Grants(_) => self.grant_budgets.budget_report(now),
                 Accounting::Ledger => Vec::new(),
             },
         }
     }
 
-    /// Returns how full this router is, in thousandths: what runs and waits against what may.
+    /// Returns the utilization of this router in thousandths: requests in progress and queued, relative to the maximum.
     fn load(&self) -> u32 {
-        let most = self.tuning.queue.max(1);
+        let most = self.tuning.queue_limit.max(1);
         let part = self.requests.len() * 1000 / most;
         u32::try_from(part.min(1000)).unwrap_or(1000)
     }
 
-    /// Tells peers that this router lives, and shows itself in the log where one of them can't hear it.
-    pub(crate) fn beat(&mut self, now: Instant) {
+    /// Sends heartbeats to peers, and appends an empty batch to the log if some peer cannot be reached.
+    pub(crate) fn send_heartbeat(&mut self, now: Instant) {
         let due = self
             .members
-            .beaten
-            .is_none_or(|at| now >= at + self.tuning.heartbeat);
+            .heartbeat_sent
+            .is_none_or(|at| now >= at + self.tuning.heartbeat_interval);
         if !due {
             return;
         }
         let peers = match self.tuning.accounting {
-            Accounting::Grants(_) => self.members.next_told(self.tuning.heartbeat),
-            // A router that is not heard for seconds may be closed there.
-            Accounting::Ledger => self.members.roster.peers().to_vec(),
+            Accounting::Grants(_) => self.members.next_recipients(self.tuning.heartbeat_interval),
+            // With a ledger, a router may be closed by a peer after seconds without a heartbeat, so no peer is left
+            // out.
+            Accounting::Ledger => self.members.vm_index.peers().to_vec(),
         };
-        self.members.beaten = Some(now);
-        self.effects.push(Effect::Beat(self.heartbeat(now), peers));
-        // A router parted from its peers, but not from the log, would be closed for its silence.
+        self.members.heartbeat_sent = Some(now);
+        self.effects
+            .push(Effect::SendHeartbeat(self.heartbeat(now), peers));
+        // A router that is partitioned from its peers, but not from the log, would otherwise be closed for its silence.
         if let Accounting::Grants(_) = self.tuning.accounting {
             return;
         }
-        let quiet = now >= self.members.shown + KEEP_ALIVE;
-        if self.serving() && quiet && self.members.any_unheard(now) {
-            self.members.shown = now;
+        let quiet = now >= self.members.keep_alive_sent + KEEP_ALIVE_INTERVAL;
+        if self.is_serving() && quiet && self.members.any_failing(now) {
+            self.members.keep_alive_sent = now;
             self.appender.keep_alive();
         }
     }
 
-    /// Returns where a caller may go instead of here.
-    pub(crate) fn other_address(&mut self) -> Option<String> {
-        let now = self.members.log_heard.max(self.members.beaten?);
-        let peers = self.members.advisable(now);
+    /// Returns the address of another router for a caller that cannot be served here.
+    pub(crate) fn alternate_address(&mut self) -> Option<String> {
+        let now = self
+            .members
+            .log_answered_at
+            .max(self.members.heartbeat_sent?);
+        let peers = self.members.advisable_peers(now);
         decide::advise(&peers, None, &mut self.rng).map(|advice| advice.address)
     }
 
     /// Advises a caller which router to use.
     pub(crate) fn advice(&mut self, now: Instant) -> Option<decide::Advice> {
-        let mut peers = self.members.advisable(now);
+        let mut peers = self.members.advisable_peers(now);
         let leaving = self
             .members
-            .roster
+            .vm_index
             .entry(&self.tuning.vm)
             .is_some_and(|entry| entry.state == VmState::Leaving);
-        if self.serving() && !leaving {
+        if self.is_serving() && !leaving {
             peers.push(decide::Peer {
                 vm: self.tuning.vm.clone(),
                 domain: self.tuning.domain.clone(),
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,5 +1,5 @@
-//! The router's core: plain values that take events and a time and return effects. Sockets, files and timers stand
-//! round it, in the module `edge`.
+//! The core of a router: a state machine without input or output, which maps events and the current time to effects.
+//! The module `edge` provides sockets, files and timers.
 
 mod admin;
 mod appender;
@@ -40,11 +40,11 @@
 mod refuse;
 mod relay;
 mod request;
-mod roster;
 mod run;
 mod table_watch;
 #[cfg(test)]
 mod tests;
+mod vm_index;
 mod waiting;
 
 pub(crate) use core::Accounting;
@@ -59,27 +59,27 @@
 pub(crate) use effect::Peer;
 pub(crate) use effect::Replay;
 pub(crate) use effect::Run;
-pub(crate) use event::AdminId;
 pub(crate) use event::AdminRequest;
 pub(crate) use event::Arrival;
+pub(crate) use event::BudgetTransfer;
 pub(crate) use event::EndpointLoad;
 pub(crate) use event::Entry;
 pub(crate) use event::Event;
-pub(crate) use event::Gift;
 pub(crate) use event::GrantEvent;
 pub(crate) use event::Heartbeat;
 pub(crate) use event::KeptBatches;
-pub(crate) use event::LoanAsk;
-pub(crate) use event::Reading;
+pub(crate) use event::LoanRequest;
+pub(crate) use event::PeerFailure;
+pub(crate) use event::PromptNotice;
 pub(crate) use event::Relay;
+pub(crate) use event::ReplyId;
 pub(crate) use event::RunEnd;
 pub(crate) use event::Secret;
-pub(crate) use event::Silence;
 pub(crate) use event::Usage;
 pub(crate) use event::Work;
 pub(crate) use pool::BORN_LABEL;
 pub use problem::Problem;
 pub use problem::ProblemKind;
 pub use problem::Ran;
-pub(crate) use roster::CPU;
-pub(crate) use roster::LINK;
+pub(crate) use vm_index::CPU_LABEL;
+pub(crate) use vm_index::LINK_LABEL;
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -46,7 +46,7 @@
             .orders
             .checked_at
             .is_none_or(|at| now >= at + CHECK_INTERVAL);
-        if !due || !self.serving() || self.in_outage(now) {
+        if !due || !self.is_serving() || self.in_outage(now) {
             return;
         }
         self.orders.checked_at = Some(now);
@@ -92,7 +92,7 @@
                     fence,
                     models: models.to_vec(),
                 };
-                self.effects.push(Effect::Order(order));
+                self.effects.push(Effect::SendOrder(order));
             }
         }
     }
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -17,8 +17,8 @@
 use crate::router::core::Ticket;
 use crate::router::effect::Effect;
 use crate::router::effect::Peer;
-use crate::router::event::AdminId;
 use crate::router::event::KeptBatches;
+use crate::router::event::ReplyId;
 use crate::router::request::AnswerEnd;
 use crate::router::request::State;
 use crate::settings::EndMarker;
@@ -73,7 +73,7 @@
         }
         self.outage.sent_at = Some(now);
         self.outage.sent_records = waiting;
-        for peer in self.members.roster.peers().iter().cloned() {
+        for peer in self.members.vm_index.peers().iter().cloned() {
             self.replicate_to(peer);
         }
         self.advance_replicated(now);
@@ -100,7 +100,7 @@
             records,
             batches: batches.filter(|b| b.sequence > after).map(encode).collect(),
         };
-        self.effects.push(Effect::Keep(batches, vec![peer]));
+        self.effects.push(Effect::KeepBatches(batches, vec![peer]));
     }
 
     /// Handles a peer's report that it lacks earlier batches, as it does after a restart.
@@ -112,10 +112,10 @@
     ///
     /// A router that was closed while it was cut off may not know of it yet. If its batches were stored all the same,
     /// it would complete answers whose bills are void.
-    pub(crate) fn store_replica(&mut self, id: AdminId, batches: KeptBatches) {
+    pub(crate) fn store_replica(&mut self, id: ReplyId, batches: KeptBatches) {
         let state = self.ledger.router(batches.router);
         let folded = state.filter(|state| !state.closed).map(|s| s.sequence);
-        let stored = folded.is_some_and(|folded| self.members.keep(batches, folded));
+        let stored = folded.is_some_and(|folded| self.members.keep_batches(batches, folded));
         let status = if stored { 200 } else { 409 };
         self.effects.push(Effect::Answer(id, status, Value::Null));
     }
@@ -156,7 +156,7 @@
         let mut replicas = self.outage.replicas.iter();
         let confirmed =
             replicas.any(|(vm, extent)| *extent >= replicated && self.counts_as_replica(vm));
-        if confirmed && self.tuning.marker == EndMarker::Peers {
+        if confirmed && self.tuning.end_marker == EndMarker::Peers {
             billed
                 .into_iter()
                 .for_each(|id| self.release_answer_end(id));
@@ -210,7 +210,7 @@
                 answer_end: AnswerEnd::Released,
             };
             info!(event = "bill-kept", request = %id);
-            self.effects.push(Effect::Release(id));
+            self.effects.push(Effect::FinishAnswer(id));
             self.leave_limit(id);
         }
     }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -171,20 +171,24 @@
             .config
             .pools()
             .map(|(id, spec)| (id, spec.clone()))
-            .chain(self.table.iter().flat_map(|table| table_pools(table)))
+            .chain(self.route_table.iter().flat_map(|table| table_pools(table)))
             .collect();
-        let fixed = self.table.is_some();
-        let routers = self.members.roster.serving();
+        let fixed = self.route_table.is_some();
+        let routers = self.members.vm_index.serving_vms();
         self.pools
             .retain(|id, _| specs.iter().any(|(kept, _)| kept == id));
         for (id, spec) in specs {
             let seed = self.rng.next_u64();
             let tuning = &self.tuning;
             let pool = self.pools.entry(id).or_insert_with(|| {
-                Pool::new(&tuning.vm, tuning.queue, ChaCha8Rng::seed_from_u64(seed))
+                Pool::new(
+                    &tuning.vm,
+                    tuning.queue_limit,
+                    ChaCha8Rng::seed_from_u64(seed),
+                )
             });
-            let vms = &self.members.roster.list().vms;
-            pool.refresh(now, &spec, vms, fixed, &self.drained);
+            let vms = &self.members.vm_index.list().vms;
+            pool.refresh(now, &spec, vms, fixed, &self.drained_domains);
             pool.picker.chooser.set_router_count(routers.len());
         }
         self.update_cold_shares(now);
@@ -207,7 +211,7 @@
         if self.pools.get(name)?.queue.is_empty() {
             return None;
         }
-        let routers = self.members.roster.serving();
+        let routers = self.members.vm_index.serving_vms();
         let Self {
             pools,
             requests,
@@ -237,7 +241,7 @@
 
     /// Picks another endpoint for a request whose run failed, and assigns the request to it.
     pub(crate) fn pick_endpoint(&mut self, now: Instant, id: RequestId) -> Option<VmId> {
-        let routers = self.members.roster.serving();
+        let routers = self.members.vm_index.serving_vms();
         let request = self.requests.get(&id)?;
         let pool = self.pools.get(&request.pool)?;
         let context = PickContext {
@@ -287,27 +291,30 @@
         let first_token = first_token.map(|at| at - *since);
         let latency = first_token.unwrap_or(now - *since);
         let (sample, evidence) = match end {
-            RunEnd::Whole { .. } | RunEnd::Answered { .. } => (
+            RunEnd::Completed { .. } | RunEnd::Answered { .. } => (
                 Sample::Answered(latency),
                 Some(Observation::Answered(latency)),
             ),
             RunEnd::NotRun { retry: Some(_) } => (Sample::Refused, None),
-            RunEnd::NotRun { .. } | RunEnd::Broken { .. } => {
+            RunEnd::NotRun { .. } | RunEnd::Failed { .. } => {
                 (Sample::Other, Some(Observation::Failed))
             }
             // A caller that gave up on a silent endpoint counts against the endpoint; one that left early does not.
             RunEnd::CallerGone { .. } if silent => (Sample::Other, Some(Observation::Failed)),
             RunEnd::CallerGone { .. } | RunEnd::Unsent => (Sample::Other, None),
         };
-        if matches!(end, RunEnd::NotRun { .. } | RunEnd::Broken { .. }) {
+        if matches!(end, RunEnd::NotRun { .. } | RunEnd::Failed { .. }) {
             request.failed_endpoints.push(endpoint.clone());
         }
         let fingerprint = request.fingerprint;
         match end {
-            RunEnd::Whole { .. } | RunEnd::Answered { .. } => {
+            RunEnd::Completed { .. } | RunEnd::Answered { .. } => {
                 self.quarantine.complete(fingerprint, &endpoint);
             }
-            RunEnd::Broken { died: true, .. } => self.record_crash(now, &endpoint),
+            RunEnd::Failed {
+                endpoint_died: true,
+                ..
+            } => self.record_crash(now, &endpoint),
             _ => self.quarantine.end(fingerprint, &endpoint),
         }
         let request = &self.requests[&id];
--- a/src/router/prefill.rs
+++ b/src/router/prefill.rs
@@ -6,7 +6,7 @@
 use crate::ids::RequestId;
 use crate::router::core::Core;
 use crate::router::effect::Effect;
-use crate::router::event::Reading;
+use crate::router::event::PromptNotice;
 use crate::router::request::State;
 
 /// The number of unread tokens from which the other routers are told of a prompt. At 85 tokens per millisecond, it
@@ -32,13 +32,13 @@
         else {
             return;
         };
-        let reading = Reading {
+        let reading = PromptNotice {
             endpoint: choice.endpoint.clone(),
             shared: prompt.shared,
             tokens,
         };
-        let peers = self.members.roster.peers();
-        self.effects.push(Effect::Tell(reading, peers));
+        let peers = self.members.vm_index.peers();
+        self.effects.push(Effect::SendPromptNotice(reading, peers));
     }
 
     /// Updates the estimates of an endpoint's backlog and reading speed from a request's first token.
@@ -63,7 +63,7 @@
     }
 
     /// Counts a prompt that another router sent to an endpoint.
-    pub(crate) fn record_peer_prompt(&mut self, now: Instant, reading: &Reading) {
+    pub(crate) fn record_peer_prompt(&mut self, now: Instant, reading: &PromptNotice) {
         for pool in self.pools.values_mut() {
             let chooser = &mut pool.picker.chooser;
             chooser.record_remote_prompt(now, &reading.endpoint, reading.shared, reading.tokens);
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -49,7 +49,7 @@
         relay: &Relay,
     ) -> Result<Request, Box<Problem>> {
         let Some(table) = self
-            .table
+            .route_table
             .clone()
             .filter(|_| self.phase != Phase::CatchingUp)
         else {
@@ -70,8 +70,8 @@
         let pool = self.pick_pool(route);
         let stride = table.pool(&pool).map_or(1, |pool| pool.stride);
         let wait = arrival
-            .patience
-            .unwrap_or(self.tuning.patience)
+            .timeout
+            .unwrap_or(self.tuning.default_timeout)
             .min(route.timeout);
         if !self.accepts_until(now, now + wait) {
             return Err(self.not_serving());
@@ -83,7 +83,7 @@
                 key: unique_key(arrival.id),
             },
             attempt: arrival.attempt,
-            fingerprint: arrival.request,
+            fingerprint: arrival.fingerprint,
             seen: self.last_applied(),
             team,
             pool,
@@ -129,7 +129,7 @@
         match (self.phase, self.tuning.accounting) {
             (Phase::Serving, _) => true,
             (Phase::Draining { since, .. }, Accounting::Grants(tuning)) => {
-                now < since + tuning.linger || deadline < since + self.tuning.drain
+                now < since + tuning.min_drain || deadline < since + self.tuning.drain_timeout
             }
             _ => false,
         }
@@ -161,7 +161,7 @@
         };
         let stopped = request.relay.as_ref().is_some_and(|terms| terms.stopped);
         match end {
-            RunEnd::Whole { .. } | RunEnd::Answered { .. } | RunEnd::CallerGone { .. } => {
+            RunEnd::Completed { .. } | RunEnd::Answered { .. } | RunEnd::CallerGone { .. } => {
                 self.finish(now, id);
             }
             RunEnd::Unsent => self.finish(now, id),
@@ -174,10 +174,10 @@
                 let problem = Problem::new(ProblemKind::NoEndpoint, Ran::Unknown, detail);
                 self.refuse_with(now, id, problem.with_retry(retry.unwrap_or(FAILURE_RETRY)));
             }
-            RunEnd::Broken { begun, .. } => {
+            RunEnd::Failed { answer_begun, .. } => {
                 let retryable = match repeat {
                     Repeat::Never => false,
-                    Repeat::Whole => !begun,
+                    Repeat::Whole => !answer_begun,
                     Repeat::Resume => true,
                 };
                 if retryable && self.retry_relay(now, id) {
@@ -185,7 +185,7 @@
                 }
                 let detail = "the endpoint failed before the answer was whole";
                 let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
-                self.effects.push(Effect::Cut(id, Box::new(problem)));
+                self.effects.push(Effect::Abort(id, Box::new(problem)));
                 self.finish(now, id);
             }
         }
@@ -208,14 +208,14 @@
             .filter(|(_, r)| r.should_switch_endpoint(now));
         let silent: Vec<_> = silent.map(|(id, _)| *id).collect();
         for id in silent {
-            if !self.retries.has_retry(now) {
+            if !self.retry_budget.has_retry(now) {
                 return;
             }
             if let Some(terms) = self.requests[&id].relay.as_mut() {
                 terms.timed_out = true;
             }
             info!(event = "silent", request = %id);
-            self.effects.push(Effect::Leave(id));
+            self.effects.push(Effect::Abandon(id));
         }
     }
 
@@ -232,7 +232,7 @@
         info!(event = "deadline", request = %id);
         let detail = "the request took longer than its route or its caller allows";
         let problem = Problem::new(ProblemKind::Deadline, Ran::Unknown, detail);
-        self.effects.push(Effect::Cut(id, Box::new(problem)));
+        self.effects.push(Effect::Abort(id, Box::new(problem)));
     }
 }
 
@@ -286,10 +286,14 @@
     fn record_run(&mut self, end: &RunEnd, limit: Tokens) {
         let delivered = match end {
             RunEnd::NotRun { .. } | RunEnd::Unsent => return,
-            RunEnd::Whole { usage } => Some(usage.answer),
-            RunEnd::Broken { usage, begun, .. } => usage
+            RunEnd::Completed { usage } => Some(usage.answer),
+            RunEnd::Failed {
+                usage,
+                answer_begun,
+                ..
+            } => usage
                 .map(|usage| usage.answer)
-                .or(begun.then_some(Tokens::ZERO)),
+                .or(answer_begun.then_some(Tokens::ZERO)),
             RunEnd::CallerGone { usage } => usage.map(|usage| usage.answer),
             // Such an answer does not report its number of tokens.
             RunEnd::Answered { status, .. } => is_success(*status).then_some(limit),
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -101,7 +101,7 @@
             return;
         }
         match end {
-            RunEnd::Whole { usage } => {
+            RunEnd::Completed { usage } => {
                 self.bill(id, usage.total(), Outcome::Whole, AnswerEnd::Withheld);
             }
             RunEnd::Answered { status, body } => {
@@ -109,7 +109,11 @@
                 self.bill(id, price, outcome, AnswerEnd::Withheld);
             }
             RunEnd::NotRun { retry } => self.retry_or_refuse(now, id, retry),
-            RunEnd::Broken { usage, begun, .. } => self.handle_broken_run(now, id, usage, begun),
+            RunEnd::Failed {
+                usage,
+                answer_begun,
+                ..
+            } => self.handle_broken_run(now, id, usage, answer_begun),
             RunEnd::CallerGone { usage } => self.bill_disconnected(id, usage),
             RunEnd::Unsent => self.handle_unsent_run(now, id),
         }
@@ -133,7 +137,10 @@
             amount,
             outcome,
         };
-        self.purses.entry(team.clone()).or_default().credit(credit);
+        self.ledger_budgets
+            .entry(team.clone())
+            .or_default()
+            .credit(credit);
         let ticket = Ticket::Bill {
             request: id,
             team,
@@ -155,7 +162,7 @@
         match (verdict, answer_end) {
             (Verdict::Accepted, AnswerEnd::Withheld) => {
                 info!(event = "billed", request = %id);
-                self.effects.push(Effect::Release(id));
+                self.effects.push(Effect::FinishAnswer(id));
             }
             (Verdict::Accepted, AnswerEnd::Released | AnswerEnd::None) => {}
             (_, AnswerEnd::Withheld) => {
@@ -193,7 +200,7 @@
     /// retries would keep the remaining endpoints overloaded.
     pub(crate) fn retry_elsewhere(&mut self, now: Instant, id: RequestId) -> bool {
         let attempts = self.requests[&id].failed_endpoints.len();
-        if attempts >= MAX_RUNS || self.is_poison(id) || !self.retries.try_retry(now) {
+        if attempts >= MAX_RUNS || self.is_poison(id) || !self.retry_budget.try_retry(now) {
             return false;
         }
         let Some(endpoint) = self.pick_endpoint(now, id) else {
@@ -209,8 +216,7 @@
         &mut self,
         now: Instant,
         id: RequestId,
-        usage: Option<Usage>,
-        begun: bool,
+        usage: Option<Usage>, answer_begun: bool,
     ) {
         let request = &mut self.requests[&id];
         let used = usage.map_or(request.reserve, Usage::total);
@@ -224,7 +230,7 @@
             self.bill(id, charged, Outcome::Unknown, AnswerEnd::None);
             return;
         }
-        if !begun {
+        if !answer_begun {
             request.wasted = request.wasted.saturating_add(used).min(request.reserve);
             if self.retry_elsewhere(now, id) {
                 return;
@@ -244,12 +250,12 @@
     fn abort_answer(&mut self, id: RequestId, detail: &str) {
         let problem = Problem::new(ProblemKind::EndpointFailed, Ran::Unknown, detail);
         let problem = problem.with_retry(FAILURE_RETRY);
-        self.effects.push(Effect::Cut(id, Box::new(problem)));
+        self.effects.push(Effect::Abort(id, Box::new(problem)));
     }
 
     fn refuse_running(&mut self, id: RequestId, kind: ProblemKind, detail: &str) {
         let problem = Problem::new(kind, Ran::Unknown, detail);
-        self.effects.push(Effect::Cut(id, Box::new(problem)));
+        self.effects.push(Effect::Abort(id, Box::new(problem)));
     }
 
     /// Ends a request whose caller had already disconnected when it was dispatched.
@@ -326,7 +332,7 @@
             State::Queued => self.cancel_queued(now, id),
             State::Funding { .. } if request.relay.is_some() => {
                 let team = request.team.clone();
-                self.funds.remove_waiting(&team, id);
+                self.grant_budgets.remove_waiting(&team, id);
             }
             State::Claiming { .. } => self.free_endpoint(now, id),
             _ => {}
@@ -357,15 +363,15 @@
             if request.reservation == Reservation::Funded {
                 let (team, reserved) = (&request.team, request.reserve);
                 info!(event = "settled", request = %id, %team, %reserved, used = %terms.used);
-                self.funds.settle(team, reserved, terms.used);
+                self.grant_budgets.settle(team, reserved, terms.used);
             }
         } else if request.reservation == Reservation::Funded
-            && let Some(purse) = self.purses.get_mut(&request.team)
+            && let Some(purse) = self.ledger_budgets.get_mut(&request.team)
         {
             purse.end_debit(request.reserve);
         }
-        if self.active.get(&request.key) == Some(&id) {
-            self.active.swap_remove(&request.key);
+        if self.request_by_key.get(&request.key) == Some(&id) {
+            self.request_by_key.swap_remove(&request.key);
         }
         if request.entered {
             self.leave_account(&request.key.account);
@@ -406,7 +412,7 @@
             }
             State::Funding { .. } if outage && now >= request.arrived_at + FUNDING_TIMEOUT => {
                 let detail = "the log service can't be reached, and this router holds too little of the budget";
-                let instead = self.other_address();
+                let instead = self.alternate_address();
                 let problem = Problem::new(ProblemKind::LogOutage, Ran::Unknown, detail);
                 self.refuse_with(
                     now,
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -118,7 +118,7 @@
 impl Core {
     /// Returns the version of the configuration in force; 0 if there is none yet.
     pub(crate) fn table_version(&self) -> TableVersion {
-        self.table
+        self.route_table
             .as_ref()
             .map_or_else(TableVersion::default, |table| table.version)
     }
@@ -126,7 +126,7 @@
     /// Handles an answer by which the store had no newer configuration at `at`.
     pub(crate) fn confirm_table(&mut self, now: Instant, at: Instant) {
         self.table_watch.confirm(at);
-        self.funds.store_answered(now);
+        self.grant_budgets.store_answered(now);
     }
 
     /// Handles the version in a peer's heartbeat.
@@ -138,7 +138,7 @@
     /// Asks a peer for its newer configuration if the store has not delivered it.
     pub(crate) fn fetch_table(&mut self, now: Instant) {
         while let Some(vm) = self.table_watch.next_source(now) {
-            let Some(peer) = self.members.roster.peer(&vm) else {
+            let Some(peer) = self.members.vm_index.peer(&vm) else {
                 self.table_watch.remove_source(&vm);
                 continue;
             };
@@ -157,7 +157,9 @@
     /// Returns whether other routers may have a newer configuration.
     pub(crate) fn may_be_behind(&self, now: Instant) -> bool {
         match self.tuning.accounting {
-            Accounting::Grants(tuning) => self.table_watch.may_be_behind(now, tuning.confirm),
+            Accounting::Grants(tuning) => {
+                self.table_watch.may_be_behind(now, tuning.config_max_age)
+            }
             Accounting::Ledger => false,
         }
     }
@@ -180,7 +182,7 @@
             Ran::No,
             "this router may not have the newest configuration yet",
         );
-        let instead = self.other_address();
+        let instead = self.alternate_address();
         Box::new(problem.with_instead(instead).with_retry(RETRY_AFTER))
     }
 }
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -22,7 +22,6 @@
 use crate::moment::BootId;
 use crate::moment::HostId;
 use crate::moment::Moment;
-use crate::router::AdminId;
 use crate::router::AdminRequest;
 use crate::router::AppendTiming;
 use crate::router::Arrival;
@@ -31,6 +30,7 @@
 use crate::router::Entry;
 use crate::router::Event;
 use crate::router::Problem;
+use crate::router::ReplyId;
 use crate::router::Run;
 use crate::router::RunEnd;
 use crate::router::Secret;
@@ -101,17 +101,17 @@
             interval: COMMIT,
             timeout: OUTAGE,
         },
-        outage: OUTAGE,
-        marker: EndMarker::Peers,
-        heartbeat: Duration::from_millis(100),
-        silence: Duration::from_secs(4),
-        patience: Duration::from_secs(60),
-        queue: 512,
-        retention: Duration::from_secs(3600),
-        wait: Duration::from_secs(10),
-        keep: Duration::from_secs(30),
-        parted: Duration::from_secs(3600),
-        drain: Duration::from_secs(60),
+        outage_after: OUTAGE,
+        end_marker: EndMarker::Peers,
+        heartbeat_interval: Duration::from_millis(100),
+        silence_timeout: Duration::from_secs(4),
+        default_timeout: Duration::from_secs(60),
+        queue_limit: 512,
+        log_retention: Duration::from_secs(3600),
+        queue_timeout: Duration::from_secs(10),
+        address_ttl: Duration::from_secs(30),
+        partition_timeout: Duration::from_secs(3600),
+        drain_timeout: Duration::from_secs(60),
         accounting: crate::router::Accounting::Ledger,
         clock: boot_clock(1, WALL, Instant::now()),
     }
@@ -172,7 +172,7 @@
         }
         bench.pass(200);
         for node in &bench.nodes {
-            assert!(node.core.serving());
+            assert!(node.core.is_serving());
         }
         bench
     }
@@ -183,7 +183,7 @@
             team: "loans".parse().expect("a name"),
             amount: Tokens(amount),
         };
-        self.tell(0, Event::Admin(AdminId(u64::MAX), request));
+        self.tell(0, Event::Admin(ReplyId(u64::MAX), request));
         self.pass(200);
     }
 
@@ -217,19 +217,19 @@
                 }
             }
             Effect::AppendKept(bytes) if self.log != Log::Down => self.records.push(bytes),
-            Effect::Beat(beat, _) if self.linked => {
+            Effect::SendHeartbeat(beat, _) if self.linked => {
                 for other in (0..self.nodes.len()).filter(|other| *other != at) {
-                    self.tell(other, Event::Heard(beat.clone()));
+                    self.tell(other, Event::HeartbeatReceived(beat.clone()));
                 }
             }
-            Effect::Keep(batches, peers) if self.linked && !peers.is_empty() => {
+            Effect::KeepBatches(batches, peers) if self.linked && !peers.is_empty() => {
                 let other = 1 - at;
                 self.left += batches.batches.iter().map(Vec::len).sum::<usize>();
-                let event = Event::Keep(AdminId(0), batches.clone());
+                let event = Event::KeepBatches(ReplyId(0), batches.clone());
                 let answers = self.nodes[other].core.handle(self.now, event);
-                let keeps = |e: &Effect| matches!(e, Effect::Answer(AdminId(0), 200, _));
+                let keeps = |e: &Effect| matches!(e, Effect::Answer(ReplyId(0), 200, _));
                 if answers.iter().any(keeps) {
-                    let event = Event::Kept {
+                    let event = Event::BatchesKept {
                         peer: peers[0].vm.clone(),
                         router: batches.router,
                         last: batches.last,
@@ -237,10 +237,10 @@
                     };
                     self.tell(at, event);
                 } else {
-                    self.tell(at, Event::Unkept(peers[0].vm.clone()));
+                    self.tell(at, Event::BatchesRejected(peers[0].vm.clone()));
                 }
             }
-            Effect::Beat(..) | Effect::Keep(..) | Effect::AppendKept(_) => {}
+            Effect::SendHeartbeat(..) | Effect::KeepBatches(..) | Effect::AppendKept(_) => {}
             other => self.nodes[at].out.push(other),
         }
     }
@@ -296,8 +296,8 @@
                 limit: Some(Tokens(100)),
                 blocks: Vec::new(),
             },
-            request: Fingerprint(7),
-            patience: None,
+            fingerprint: Fingerprint(7),
+            timeout: None,
             priority: None,
         }
     }
@@ -315,7 +315,7 @@
 
     /// Has a request arrive at a router.
     pub(crate) fn arrive(&mut self, at: usize, arrival: &Arrival) -> RequestId {
-        self.tell(at, Event::Arrived(Box::new(arrival.clone())));
+        self.tell(at, Event::RequestArrived(Box::new(arrival.clone())));
         arrival.id
     }
 
@@ -333,7 +333,7 @@
             prompt: Tokens(3),
             answer: Tokens(20),
         };
-        self.tell(at, Event::Ended(id, RunEnd::Whole { usage }));
+        self.tell(at, Event::RunEnded(id, RunEnd::Completed { usage }));
     }
 
     /// Ends all runs of a router whole.
@@ -391,20 +391,22 @@
     /// Returns a request's refusal.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
         self.out.iter().find_map(|effect| match effect {
-            Effect::Refuse(of, problem) | Effect::Cut(of, problem) if *of == id => Some(&**problem),
+            Effect::Refuse(of, problem) | Effect::Abort(of, problem) if *of == id => {
+                Some(&**problem)
+            }
             _ => None,
         })
     }
 
     /// Returns whether the end of a request's answer went out.
     pub(crate) fn released(&self, id: RequestId) -> bool {
-        let release = |effect: &Effect| matches!(effect, Effect::Release(of) if *of == id);
+        let release = |effect: &Effect| matches!(effect, Effect::FinishAnswer(of) if *of == id);
         self.out.iter().any(release)
     }
 
     /// Returns whether a request's answer was cut.
     pub(crate) fn cut(&self, id: RequestId) -> bool {
-        let cut = |effect: &Effect| matches!(effect, Effect::Cut(of, _) if *of == id);
+        let cut = |effect: &Effect| matches!(effect, Effect::Abort(of, _) if *of == id);
         self.out.iter().any(cut)
     }
 
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/isolated.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::ConsistencyMode;
 use crate::router::Event;
-use crate::router::Silence;
+use crate::router::PeerFailure;
 use crate::router::Tuning;
 use crate::router::tests::bench::Bench;
 use crate::router::tests::bench::Log;
@@ -15,21 +15,21 @@
 fn bench(lean: ConsistencyMode) -> Bench {
     let tune = |at| Tuning {
         lean,
-        parted: PARTED,
+        partition_timeout: PARTED,
         ..tuning(at)
     };
     Bench::tuned(vec![tune(0), tune(1)])
 }
 
 /// Lets a router be silent to the second one in one way, and returns how long it takes until it is closed.
-fn closed_after(bench: &mut Bench, silence: Silence) -> Duration {
+fn closed_after(bench: &mut Bench, silence: PeerFailure) -> Duration {
     let dead = bench.nodes[0].core.me;
     bench.linked = false;
     let begun = bench.now;
     bench.nodes.remove(0);
     while bench.ledger().is_open(dead) {
         let vm = "router-0".parse().expect("a name");
-        bench.tell(0, Event::Unheard(vm, silence));
+        bench.tell(0, Event::HeartbeatFailed(vm, silence));
         bench.pass(100);
         assert!(bench.now - begun < PARTED * 3, "it is never closed");
     }
@@ -41,9 +41,9 @@
 /// partition, and keeps what it holds for as long as one lasts.
 #[test]
 fn a_silent_router_is_closed_by_the_kind_of_its_silence() {
-    let refused = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Refused);
-    let mute = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Mute);
-    let away = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Unreachable);
+    let refused = closed_after(&mut bench(ConsistencyMode::Strict), PeerFailure::Refused);
+    let mute = closed_after(&mut bench(ConsistencyMode::Strict), PeerFailure::Mute);
+    let away = closed_after(&mut bench(ConsistencyMode::Strict), PeerFailure::Unreachable);
     assert!(refused < Duration::from_secs(3), "{refused:?}");
     assert!(
         mute >= Duration::from_secs(12) && mute < Duration::from_secs(16),
@@ -54,7 +54,7 @@
         "{away:?}"
     );
     // Where refusals weigh more, one that may serve is not robbed of what it holds either.
-    let mute = closed_after(&mut bench(ConsistencyMode::Available), Silence::Mute);
+    let mute = closed_after(&mut bench(ConsistencyMode::Available), PeerFailure::Mute);
     assert!(mute >= PARTED, "{mute:?}");
 }
 
@@ -64,7 +64,7 @@
 #[test]
 fn a_router_that_is_cut_off_stops_before_the_others_may_close_it() {
     for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
-        for silence in [Silence::Mute, Silence::Unreachable] {
+        for silence in [PeerFailure::Mute, PeerFailure::Unreachable] {
             let mut one = bench(lean);
             one.log = Log::Down;
             one.linked = false;
@@ -72,7 +72,7 @@
             let mut last = begun;
             while one.now - begun < PARTED * 2 {
                 let vm = "router-1".parse().expect("a name");
-                one.tell(0, Event::Unheard(vm, silence));
+                one.tell(0, Event::HeartbeatFailed(vm, silence));
                 one.pass(500);
                 if one.nodes[0].core.may_run_unclaimed(one.now) {
                     last = one.now;
@@ -102,7 +102,7 @@
     bench.linked = true;
     bench.pass(1000);
     assert!(bench.ledger().is_open(other));
-    assert!(bench.nodes[1].core.serving());
+    assert!(bench.nodes[1].core.is_serving());
 }
 
 /// The process is stopped for half a minute, as VMs are when they are moved. What lay in its sockets may have been asked
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -4,9 +4,9 @@
 use crate::ids::Sequence;
 use crate::router::Event;
 use crate::router::KeptBatches;
+use crate::router::PeerFailure;
 use crate::router::ProblemKind;
 use crate::router::Ran;
-use crate::router::Silence;
 use crate::router::Tuning;
 use crate::router::members::Members;
 use crate::router::tests::bench::Bench;
@@ -51,7 +51,7 @@
 #[test]
 fn with_hold_the_end_waits_for_the_log() {
     let mut bench = in_outage(|tuning| Tuning {
-        marker: EndMarker::Hold,
+        end_marker: EndMarker::Hold,
         ..tuning
     });
     let ask = bench.chat("o2", 1);
@@ -164,7 +164,7 @@
     bench.log = Log::Up;
     for _ in 0..80 {
         let vm = "router-0".parse().expect("a name");
-        bench.tell(0, Event::Unheard(vm, Silence::Refused));
+        bench.tell(0, Event::HeartbeatFailed(vm, PeerFailure::Refused));
         bench.pass(100);
     }
     assert!(!bench.ledger().is_open(dead));
@@ -211,11 +211,11 @@
         batches: vec![vec![1]; count],
     };
     let fresh = || Members::new(bench.now, tuning(0).vm);
-    assert!(!fresh().keep(left(folded.0 + 5, 1), folded));
-    assert!(fresh().keep(left(folded.0, 2), folded));
+    assert!(!fresh().keep_batches(left(folded.0 + 5, 1), folded));
+    assert!(fresh().keep_batches(left(folded.0, 2), folded));
     let mut members = fresh();
-    assert!(members.keep(left(folded.0, 3), folded));
-    assert!(members.keep(left(folded.0 + 2, 2), folded));
-    assert_eq!(members.kept[&router].batches.len(), 4);
-    assert_eq!(members.kept[&router].last, Sequence(folded.0 + 4));
+    assert!(members.keep_batches(left(folded.0, 3), folded));
+    assert!(members.keep_batches(left(folded.0 + 2, 2), folded));
+    assert_eq!(members.kept_batches[&router].batches.len(), 4);
+    assert_eq!(members.kept_batches[&router].last, Sequence(folded.0 + 4));
 }
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -2,16 +2,16 @@
 
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
-use crate::router::AdminId;
+use crate::router::BudgetTransfer;
 use crate::router::Effect;
 use crate::router::Event;
-use crate::router::Gift;
 use crate::router::Heartbeat;
-use crate::router::LoanAsk;
+use crate::router::LoanRequest;
 use crate::router::Peer;
+use crate::router::ReplyId;
 use crate::router::RunEnd;
 use crate::router::Usage;
-use crate::router::event::PurseWord;
+use crate::router::event::TeamBudget;
 use crate::router::tests::site::Log;
 use crate::router::tests::site::Site;
 use crate::router::tests::site::entry;
@@ -64,9 +64,9 @@
 }
 
 /// Returns the questions for loans, and whom they went to.
-fn asked(site: &Site) -> Vec<(LoanAsk, Peer)> {
+fn asked(site: &Site) -> Vec<(LoanRequest, Peer)> {
     let asked = site.effects.iter().filter_map(|effect| match effect {
-        Effect::Borrow(ask, peer) => Some((ask.clone(), peer.clone())),
+        Effect::RequestLoan(ask, peer) => Some((ask.clone(), peer.clone())),
         _ => None,
     });
     asked.collect()
@@ -90,7 +90,7 @@
 
 /// The same for a request of a priority.
 fn ask_owner_for(site: &mut Site, priority: u8, number: u64, id: u64, amount: u64) {
-    let ask = LoanAsk {
+    let ask = LoanRequest {
         borrower: Incarnation(99),
         number,
         team: "loans".parse().expect("a name"),
@@ -98,13 +98,13 @@
         asked: Tokens(number * amount),
         priority,
     };
-    site.tell(Event::LoanAsked(AdminId(id), ask));
+    site.tell(Event::LoanRequested(ReplyId(id), ask));
 }
 
 /// Returns what a question for a loan was answered.
 fn lent(site: &Site, id: u64) -> Option<u64> {
     site.effects.iter().find_map(|effect| match effect {
-        Effect::Answer(AdminId(of), _, body) if *of == id => body.as_u64(),
+        Effect::Answer(ReplyId(of), _, body) if *of == id => body.as_u64(),
         _ => None,
     })
 }
@@ -117,7 +117,7 @@
     let id = site.ask("stream", 100, 50);
     let (ask, _) = asked(&site).pop().expect("an owner is asked at once");
     assert_eq!(ask.amount, Tokens(150));
-    site.tell(Event::Lent(ask, Some(Tokens(150))));
+    site.tell(Event::LoanAnswered(ask, Some(Tokens(150))));
     assert!(is_run(&site, id));
     assert_eq!(proposals(&site), 0);
 }
@@ -132,7 +132,7 @@
     for _ in 0..3 {
         let (ask, peer) = asked(&site).pop().expect("one is asked");
         addresses.push(peer.address);
-        site.tell(Event::Lent(ask, None));
+        site.tell(Event::LoanAnswered(ask, None));
     }
     addresses.dedup();
     assert_eq!(addresses.len(), 3);
@@ -152,18 +152,18 @@
     let mut site = guest();
     let id = site.ask("stream", 100, 900);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
-    site.tell(Event::Lent(ask, Some(Tokens(1000))));
+    site.tell(Event::LoanAnswered(ask, Some(Tokens(1000))));
     let usage = Usage {
         prompt: Tokens::ZERO,
         answer: Tokens(20),
     };
-    site.tell(Event::Ended(id, RunEnd::Whole { usage }));
+    site.tell(Event::RunEnded(id, RunEnd::Completed { usage }));
     site.pass(15_000);
-    let gifts: Vec<&Gift> = site
+    let gifts: Vec<&BudgetTransfer> = site
         .effects
         .iter()
         .filter_map(|effect| match effect {
-            Effect::Give(gift, _) => Some(gift),
+            Effect::TransferBudget(gift, _) => Some(gift),
             _ => None,
         })
         .collect();
@@ -181,7 +181,7 @@
     site.pass(100);
     assert_eq!(lent(&site, 1), Some(5000));
     assert_eq!(lent(&site, 2), Some(5000));
-    let dump = site.core.funds.dump(site.now);
+    let dump = site.core.grant_budgets.dump(site.now);
     assert_eq!(dump["teams"][0]["lent"], 5000, "{dump}");
 }
 
@@ -245,7 +245,7 @@
     site.pass(took);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
     let amount = ask.amount;
-    site.tell(Event::Lent(ask, Some(amount)));
+    site.tell(Event::LoanAnswered(ask, Some(amount)));
     site.ask("stream", 500, 500);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
     ask.amount.0
@@ -274,7 +274,7 @@
             .extract_if(.., |id| is_run(&site, *id))
             .collect::<Vec<_>>()
         {
-            site.tell(Event::Ended(id, whole(500)));
+            site.tell(Event::RunEnded(id, whole(500)));
         }
         site.pass(20);
         asked_at.resize(asked(&site).len(), turn);
@@ -283,7 +283,7 @@
             let (ask, _) = asked(&site)[answered].clone();
             answered += 1;
             let amount = ask.amount;
-            site.tell(Event::Lent(ask, Some(amount)));
+            site.tell(Event::LoanAnswered(ask, Some(amount)));
         }
     }
     assert!(waited <= 10, "{waited} of 100 wait");
@@ -320,7 +320,7 @@
     let teams: Vec<_> = (0..40).map(|n| format!("team-{n}")).collect();
     let payers = teams.iter().map(|team| payer(team, team, 1_000_000));
     site.tell(Event::Table(table_of(2, payers.collect())));
-    let ownership = &site.core.funds.ownership;
+    let ownership = &site.core.grant_budgets.ownership;
     let own = |name: &String| ownership.owns_for_all(&name.parse().expect("a name"));
     let (mine, others): (Vec<_>, Vec<_>) = teams.into_iter().partition(own);
     [mine, others].map(|teams| teams.first().expect("a team").clone())
@@ -328,7 +328,7 @@
 
 /// Has another router say that plenty of a team's budget lies idle there.
 fn hear_owner(site: &mut Site, team: &str) {
-    let word = PurseWord {
+    let word = TeamBudget {
         team: team.parse().expect("a name"),
         free: Tokens(500_000),
         demand: 0,
@@ -338,7 +338,7 @@
         purses: vec![word],
         ..site.peer_beat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.tell(Event::HeartbeatReceived(beat));
 }
 
 /// Answers the newest question for a loan in full, and those that follow from that, up to a bound.
@@ -349,6 +349,6 @@
             return;
         };
         let amount = ask.amount;
-        site.tell(Event::Lent(ask, Some(amount)));
+        site.tell(Event::LoanAnswered(ask, Some(amount)));
     }
 }
--- a/src/router/tests/power_lost.rs
+++ b/src/router/tests/power_lost.rs
@@ -45,7 +45,7 @@
         let id = site.ask("stream", DEMAND / 10 - 7, 7);
         site.pass(20);
         if !site.runs(id).is_empty() {
-            site.tell(Event::Ended(id, whole(7)));
+            site.tell(Event::RunEnded(id, whole(7)));
             used += DEMAND / 10;
         }
         site.pass(80);
@@ -63,7 +63,7 @@
 
 /// Returns what the new process takes for used by the one before it.
 fn thought_used(site: &Site) -> u64 {
-    let dump = site.core.funds.dump(site.now);
+    let dump = site.core.grant_budgets.dump(site.now);
     let field = &dump["teams"][0]["granted_elsewhere"];
     field.as_u64().expect("a number")
 }
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -12,9 +12,9 @@
 use crate::ledger::Ledger;
 use crate::router::Effect;
 use crate::router::Event;
+use crate::router::PeerFailure;
 use crate::router::Ran;
 use crate::router::RunEnd;
-use crate::router::Silence;
 use crate::router::Usage;
 use crate::router::request::State;
 use crate::router::tests::bench::Bench;
@@ -103,7 +103,7 @@
             }
             Step::HungUp(at, any) => {
                 if let Some(id) = self.pick(at, any) {
-                    self.bench.tell(at, Event::HungUp(id));
+                    self.bench.tell(at, Event::CallerGone(id));
                 }
             }
             Step::Ended(at, any, how) => {
@@ -114,7 +114,7 @@
                     if running && matches!(end, RunEnd::NotRun { .. } | RunEnd::Unsent) {
                         *self.missed.entry(id).or_default() += 1;
                     }
-                    self.bench.tell(at, Event::Ended(id, end));
+                    self.bench.tell(at, Event::RunEnded(id, end));
                 }
             }
             Step::Log(how) => {
@@ -134,11 +134,11 @@
             Step::Unheard(at, kind) => {
                 let vm = format!("router-{}", 1 - at).parse().expect("a name");
                 let silence = match kind % 3 {
-                    0 => Silence::Refused,
-                    1 => Silence::Mute,
-                    _ => Silence::Unreachable,
+                    0 => PeerFailure::Refused,
+                    1 => PeerFailure::Mute,
+                    _ => PeerFailure::Unreachable,
                 };
-                bench.tell(at, Event::Unheard(vm, silence));
+                bench.tell(at, Event::HeartbeatFailed(vm, silence));
             }
             Step::TopUp(id, amount) => bench.top_up(&format!("t{}", id % 4), u64::from(amount)),
         }
@@ -160,23 +160,23 @@
         let known = how.is_multiple_of(2).then_some(usage);
         match (how % 7, self.calls.contains_key(&id)) {
             (0, _) => RunEnd::NotRun { retry: None },
-            (1, _) => RunEnd::Broken {
+            (1, _) => RunEnd::Failed {
                 usage: known,
-                begun: false,
-                died: how > 128,
+                answer_begun: false,
+                endpoint_died: how > 128,
             },
             (2, _) => RunEnd::Unsent,
             (_, true) => RunEnd::Answered {
                 status: 201,
                 body: Some(vec![how]),
             },
-            (3, _) => RunEnd::Broken {
+            (3, _) => RunEnd::Failed {
                 usage: known,
-                begun: true,
-                died: false,
+                answer_begun: true,
+                endpoint_died: false,
             },
             (4, _) => RunEnd::CallerGone { usage: known },
-            _ => RunEnd::Whole { usage },
+            _ => RunEnd::Completed { usage },
         }
     }
 
@@ -215,7 +215,7 @@
     fn check_purses(&self, ledger: &Ledger) -> Result<(), String> {
         for node in &self.bench.nodes {
             let core = &node.core;
-            for (team, purse) in &core.purses {
+            for (team, purse) in &core.ledger_budgets {
                 let free = ledger.holding(core.me, team).free;
                 let credit = core.appender.waiting() > 0;
                 if !credit && purse.available(free) > free {
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -88,7 +88,7 @@
         let id = bench.arrive(0, &ask);
         bench.pass(200);
         for _ in 0..5 {
-            bench.tell(0, Event::Ended(id, RunEnd::NotRun { retry: None }));
+            bench.tell(0, Event::RunEnded(id, RunEnd::NotRun { retry: None }));
         }
         bench.pass(300);
         assert_eq!(told(&bench, 0, id), (ProblemKind::NoEndpoint, Ran::No));
@@ -103,12 +103,12 @@
     let mut bench = Bench::start(1);
     let ask = bench.call("p6", 1);
     let id = bench.dispatched(0, &ask);
-    let broken = RunEnd::Broken {
+    let broken = RunEnd::Failed {
         usage: None,
-        begun: false,
-        died: false,
+        answer_begun: false,
+        endpoint_died: false,
     };
-    bench.tell(0, Event::Ended(id, broken));
+    bench.tell(0, Event::RunEnded(id, broken));
     bench.pass(300);
     assert_eq!(
         told(&bench, 0, id),
@@ -133,7 +133,7 @@
     bench.dispatched(1, &first);
     for attempt in [1, 2, 3] {
         let mut again = bench.call("p7", attempt);
-        again.patience = Some(Duration::from_millis(100));
+        again.timeout = Some(Duration::from_millis(100));
         let again = bench.arrive(0, &again);
         bench.pass(400);
         assert_eq!(
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -39,7 +39,7 @@
     close(bench);
     bench.pass(500);
     assert_ne!(bench.nodes[0].core.me, old);
-    assert!(bench.nodes[0].core.serving(), "it begins anew");
+    assert!(bench.nodes[0].core.is_serving(), "it begins anew");
 }
 
 /// A stream runs when its router is closed by error. What it used can't be billed any more, so its caller must see that
@@ -49,7 +49,7 @@
     let mut bench = Bench::start(2);
     let ask = bench.chat("r1", 1);
     let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::Started(id));
+    bench.tell(0, Event::AnswerStarted(id));
     closed(&mut bench);
     assert!(bench.nodes[0].cut(id));
     assert_eq!(
@@ -127,9 +127,9 @@
                 status: 201,
                 body: None,
             },
-            false => RunEnd::Whole { usage },
+            false => RunEnd::Completed { usage },
         };
-        bench.tell(0, Event::Ended(id, end));
+        bench.tell(0, Event::RunEnded(id, end));
         bench.pass(300);
         assert!(bench.nodes[0].released(id));
         assert_eq!(bench.spent() - before, 5);
@@ -148,7 +148,7 @@
     let ask = bench.call("r7", 1);
     close(&mut bench);
     let id = bench.arrive(0, &ask);
-    bench.tell(0, Event::HungUp(id));
+    bench.tell(0, Event::CallerGone(id));
     let state = &bench.nodes[0].core.requests[&id].state;
     assert!(matches!(state, State::Abandoned), "{state:?}");
     bench.pass(1000);
@@ -227,7 +227,7 @@
 fn a_refusal_whose_proof_is_lost_is_unknown() {
     let mut bench = Bench::start(2);
     let mut ask = bench.chat("r6", 2);
-    ask.patience = Some(std::time::Duration::from_millis(1));
+    ask.timeout = Some(std::time::Duration::from_millis(1));
     close(&mut bench);
     // Its deadline passes at the first tick, before the close is read.
     bench.log = Log::Down;
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -39,7 +39,7 @@
 use crate::router::Tuning;
 use crate::router::Usage;
 use crate::router::Work;
-use crate::router::event::PurseWord;
+use crate::router::event::TeamBudget;
 use crate::router::tests::bench::boot_clock;
 use crate::router::tests::bench::tuning;
 use crate::tokens::Tokens;
@@ -166,17 +166,17 @@
         prompt: Tokens::ZERO,
         answer: Tokens(answer),
     };
-    RunEnd::Whole { usage }
+    RunEnd::Completed { usage }
 }
 
 fn site_tuning(clock: BootClock) -> Tuning {
     Tuning {
-        drain: Duration::from_millis(7700),
+        drain_timeout: Duration::from_millis(7700),
         accounting: Accounting::Grants(GrantTuning {
-            confirm: CONFIRM,
-            linger: LINGER,
-            retries: 0.2,
-            spare: 5.0,
+            config_max_age: CONFIRM,
+            min_drain: LINGER,
+            retry_ratio: 0.2,
+            retries_per_sec: 5.0,
         }),
         clock,
         ..tuning(0)
@@ -223,8 +223,8 @@
     /// Has the router's VM lose its power and be back after a while, its time of day set right: a process that knows nothing
     /// starts on it.
     pub(crate) fn lose_power(&mut self, down: Duration) {
-        let list = self.core.members.roster.list().clone();
-        let table = self.core.table.clone().expect("a table");
+        let list = self.core.members.vm_index.list().clone();
+        let table = self.core.route_table.clone().expect("a table");
         self.now += down;
         let started = self.now;
         let clock = boot_clock(2, self.wall(), started);
@@ -270,7 +270,7 @@
 
     fn read(&self) -> GrantEvent {
         match self.log {
-            Log::Away => GrantEvent::Unread,
+            Log::Away => GrantEvent::ReadFailed,
             Log::Up => GrantEvent::Read {
                 rows: self.rows.clone(),
                 end: Offset(self.end),
@@ -298,7 +298,7 @@
     pub(crate) fn ask_as(&mut self, key: &str, route: &str, input: u64, output: u64) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
-        self.tell(Event::Arrived(Box::new(Arrival {
+        self.tell(Event::RequestArrived(Box::new(Arrival {
             id,
             bearer: Secret(key.to_owned()),
             key: None,
@@ -311,8 +311,8 @@
                 output: Tokens(output),
                 prompt: None,
             }),
-            request: Fingerprint(id.0),
-            patience: None,
+            fingerprint: Fingerprint(id.0),
+            timeout: None,
             priority: None,
         })));
         id
@@ -321,7 +321,7 @@
     /// Has so many other routers say that they live; each of their clocks is right.
     pub(crate) fn hear_routers(&mut self, count: usize) {
         for number in 0..count {
-            self.tell(Event::Heard(Heartbeat {
+            self.tell(Event::HeartbeatReceived(Heartbeat {
                 vm: name(&format!("router-{}", number + 1)),
                 router: Incarnation(100 + number as u64),
                 serving: true,
@@ -351,7 +351,7 @@
     /// Has another router say that so much of the team's budget lies idle there.
     pub(crate) fn hear_peer(&mut self, free: u64) {
         let beat = self.peer_beat(free);
-        self.tell(Event::Heard(beat));
+        self.tell(Event::HeartbeatReceived(beat));
     }
 
     /// Returns what another router says of itself: so much of the team's budget lies idle there.
@@ -365,7 +365,7 @@
             table: TableVersion(0),
             drained: DrainedDomains::default(),
             clock: self.wall(),
-            purses: vec![PurseWord {
+            purses: vec![TeamBudget {
                 team: name("loans"),
                 free: Tokens(free),
                 demand: 0,
@@ -385,7 +385,9 @@
     /// Returns how a request was refused, or its answer broken off.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
         self.effects.iter().find_map(|effect| match effect {
-            Effect::Refuse(of, problem) | Effect::Cut(of, problem) if *of == id => Some(&**problem),
+            Effect::Refuse(of, problem) | Effect::Abort(of, problem) if *of == id => {
+                Some(&**problem)
+            }
             _ => None,
         })
     }
--- a/src/router/tests/starved.rs
+++ b/src/router/tests/starved.rs
@@ -10,7 +10,7 @@
 use crate::router::Event;
 use crate::router::GrantEvent;
 use crate::router::Heartbeat;
-use crate::router::event::PurseWord;
+use crate::router::event::TeamBudget;
 use crate::router::tests::site::Site;
 use crate::router::tests::site::WALL;
 use crate::router::tests::site::payer;
@@ -42,7 +42,7 @@
         let ids = ["key", "other"].map(|key| site.ask_as(key, "stream", 993, 7));
         site.pass(100);
         for id in ids {
-            site.tell(Event::Ended(id, whole(7)));
+            site.tell(Event::RunEnded(id, whole(7)));
         }
     }
     dry.iter().for_each(|team| take_rest(&mut site, team));
@@ -96,7 +96,7 @@
         let id = site.ask_as("other", "stream", 993, 7);
         site.ask("stream", 500, 7);
         site.pass(20);
-        site.tell(Event::Ended(id, whole(7)));
+        site.tell(Event::RunEnded(id, whole(7)));
         site.pass(80);
     }
     let promise = newest(&site, "maps").pace.expect("a promise");
@@ -129,14 +129,14 @@
     let mut site = starved(&["loans"]);
     let before = newest(&site, "maps").granted;
     let beat = Heartbeat {
-        purses: vec![PurseWord {
+        purses: vec![TeamBudget {
             team: "maps".parse().expect("a name"),
             free: Tokens::ZERO,
             demand: 100_000,
         }],
         ..site.peer_beat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.tell(Event::HeartbeatReceived(beat));
     site.pass(40);
     site.ask("stream", 900_000, 7);
     site.pass(40);
--- a/src/router/roster.rs
+++ b/src/router/vm_index.rs
@@ -1,7 +1,7 @@
-//! The VM list, laid out for what is looked up in it at each request and heartbeat.
+//! The VM list, indexed for the lookups that each request and heartbeat makes.
 //!
-//! Walked from its beginning at each look-up, a list of three hundred VMs took a fifth of a router's processor: for each long
-//! prompt all other routers were gathered from it, and for each answer to a caller every router's entry was searched.
+//! Linear searches in a list of three hundred VMs took a fifth of a router's CPU time: each long prompt collected all
+//! other routers from the list, and each answer to a caller searched the entry of every router.
 
 use std::hash::BuildHasherDefault;
 use std::sync::Arc;
@@ -17,54 +17,54 @@
 use crate::vms::VmList;
 use crate::vms::VmState;
 
-/// The label that tells routers in the VM list.
-const ROLE: &str = "role";
+/// Label that marks the routers in the VM list.
+const ROLE_LABEL: &str = "role";
 
-/// The label that tells where a router listens for routers.
-const PEER: &str = "peer";
+/// Label with the address at which a router listens for other routers.
+const PEER_LABEL: &str = "peer";
 
-/// The label that tells how much processor a router's VM has, in thousandths of a core.
-pub(crate) const CPU: &str = "cpu";
+/// Label with the CPU share of a router's VM, in thousandths of a core.
+pub(crate) const CPU_LABEL: &str = "cpu";
 
-/// The label that tells how fast its link is, in Mbit/s.
-pub(crate) const LINK: &str = "link";
+/// Label with the bandwidth of its network link, in Mbit/s.
+pub(crate) const LINK_LABEL: &str = "link";
 
-/// What a VM that does not tell its size is thought to have.
-const UNSAID: Capacity = Capacity {
+/// Capacity assumed for a VM that reports none.
+const DEFAULT_CAPACITY: Capacity = Capacity {
     cpu_millicores: 1,
     link_mbps: 1,
 };
 
-/// The VM list as one router sees it.
+/// The VM list and indexes on it, as one router sees them.
 #[derive(Debug)]
-pub(crate) struct Roster {
+pub(crate) struct VmIndex {
     me: VmId,
     list: VmList,
-    places: IndexMap<VmId, usize, BuildHasherDefault<FastHasher>>,
+    positions: IndexMap<VmId, usize, BuildHasherDefault<FastHasher>>,
     peers: Arc<[Peer]>,
-    serving: Arc<[VmId]>,
+    serving_vms: Arc<[VmId]>,
 }
 
-impl Roster {
-    /// Makes an empty one, for the router on this VM.
+impl VmIndex {
+    /// Creates an empty index for the router on this VM.
     pub(crate) fn new(me: VmId) -> Self {
         Self {
-            serving: Arc::new([me.clone()]),
+            serving_vms: Arc::new([me.clone()]),
             me,
             list: VmList::default(),
-            places: IndexMap::default(),
+            positions: IndexMap::default(),
             peers: Arc::new([]),
         }
     }
 
-    /// Takes a list over, unless it is older than the one known; returns whether it was taken.
-    pub(crate) fn take(&mut self, list: VmList) -> bool {
+    /// Replaces the list unless the new one is older; returns whether it was replaced.
+    pub(crate) fn update(&mut self, list: VmList) -> bool {
         if list.as_of < self.list.as_of {
             return false;
         }
         let entries = list.vms.iter().enumerate();
-        self.places = entries
-            .map(|(place, entry)| (entry.vm.clone(), place))
+        self.positions = entries
+            .map(|(position, entry)| (entry.vm.clone(), position))
             .collect();
         let others = || {
             let routers = list.vms.iter().filter(|entry| is_router(entry));
@@ -73,27 +73,25 @@
         self.peers = others().filter_map(peer).collect();
         let live = others().filter(|entry| entry.state == VmState::Live);
         let live = live.map(|entry| entry.vm.clone());
-        self.serving = live.chain([self.me.clone()]).collect();
+        self.serving_vms = live.chain([self.me.clone()]).collect();
         self.list = list;
         true
     }
 
-    /// Returns the list.
     pub(crate) fn list(&self) -> &VmList {
         &self.list
     }
 
-    /// Returns a VM's entry.
     pub(crate) fn entry(&self, vm: &VmId) -> Option<&VmEntry> {
-        self.list.vms.get(*self.places.get(vm)?)
+        self.list.vms.get(*self.positions.get(vm)?)
     }
 
-    /// Returns what a router's VM can carry, as it says.
+    /// Returns the capacity of a router's VM according to its labels.
     pub(crate) fn capacity(&self, vm: &VmId) -> Capacity {
-        self.entry(vm).map_or(UNSAID, capacity)
+        self.entry(vm).map_or(DEFAULT_CAPACITY, capacity)
     }
 
-    /// Returns all routers that are listed as live, this one among them once it is.
+    /// Returns all routers that are listed as live, including this one once it is listed.
     pub(crate) fn candidates(&self) -> Vec<Candidate> {
         let live = |entry: &&VmEntry| is_router(entry) && entry.state == VmState::Live;
         let live = self.list.vms.iter().filter(live);
@@ -105,37 +103,37 @@
         candidates.collect()
     }
 
-    /// Returns how to reach all other routers.
+    /// Returns the addresses of all other routers.
     pub(crate) fn peers(&self) -> Arc<[Peer]> {
         self.peers.clone()
     }
 
-    /// Returns how to reach one of them.
+    /// Returns the address of one other router.
     pub(crate) fn peer(&self, vm: &VmId) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.vm == *vm)
     }
 
-    /// Returns the VMs of all other routers that are listed as live, and this one's.
-    pub(crate) fn serving(&self) -> Arc<[VmId]> {
-        self.serving.clone()
+    /// Returns the VMs of all other routers that are listed as live, and this router's own.
+    pub(crate) fn serving_vms(&self) -> Arc<[VmId]> {
+        self.serving_vms.clone()
     }
 }
 
 fn is_router(entry: &VmEntry) -> bool {
-    entry.labels.get(ROLE) == Some("router")
+    entry.labels.get(ROLE_LABEL) == Some("router")
 }
 
 fn capacity(entry: &VmEntry) -> Capacity {
     let label = |name| entry.labels.get(name)?.parse().ok();
     Capacity {
-        cpu_millicores: label(CPU).unwrap_or(UNSAID.cpu_millicores),
-        link_mbps: label(LINK).unwrap_or(UNSAID.link_mbps),
+        cpu_millicores: label(CPU_LABEL).unwrap_or(DEFAULT_CAPACITY.cpu_millicores),
+        link_mbps: label(LINK_LABEL).unwrap_or(DEFAULT_CAPACITY.link_mbps),
     }
 }
 
 fn peer(entry: &VmEntry) -> Option<Peer> {
     Some(Peer {
         vm: entry.vm.clone(),
-        address: entry.labels.get(PEER)?.to_owned(),
+        address: entry.labels.get(PEER_LABEL)?.to_owned(),
     })
 }
