--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -304,7 +304,9 @@
             Event::LedgerEntries(entries) => self.fold_ledger(now, entries),
             Event::ConfigEntries(entries) => self.fold_config(now, entries),
             Event::LedgerTruncated => self.fetch_ledger(now),
-            Event::CheckpointWritten { as_of, first } => self.append_checkpoint_record(as_of, first),
+            Event::CheckpointWritten { as_of, first } => {
+                self.append_checkpoint_record(as_of, first)
+            }
             Event::CaughtUp => self.handle_caught_up(now),
             Event::LedgerSnapshot(ledger) => self.adopt_ledger(now, *ledger),
             Event::ConfigSnapshot(snapshot) => self.adopt_config(now, *snapshot),
--- a/src/router/grant_budget.rs
+++ b/src/router/grant_budget.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::decide;
 use crate::decide::BorrowerDemand;
 use crate::decide::Demand;
 use crate::decide::PriorityDemand;
-use crate::decide;
 use crate::ids::RequestId;
 use crate::router::event::LoanRequest;
 use crate::router::event::ReplyId;
--- a/src/router/ledger_stream.rs
+++ b/src/router/ledger_stream.rs
@@ -126,7 +126,10 @@
 
     /// Asks peers for the ledger, at most once per [`FETCH_INTERVAL`].
     pub(crate) fn fetch_ledger(&mut self, now: Instant) {
-        if self.ledger_fetched_at.is_some_and(|at| now < at + FETCH_INTERVAL) {
+        if self
+            .ledger_fetched_at
+            .is_some_and(|at| now < at + FETCH_INTERVAL)
+        {
             return;
         }
         self.ledger_fetched_at = Some(now);
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -216,7 +216,8 @@
         &mut self,
         now: Instant,
         id: RequestId,
-        usage: Option<Usage>, answer_begun: bool,
+        usage: Option<Usage>,
+        answer_begun: bool,
     ) {
         let request = &mut self.requests[&id];
         let used = usage.map_or(request.reserve, Usage::total);
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/isolated.rs
@@ -43,7 +43,10 @@
 fn a_silent_router_is_closed_by_the_kind_of_its_silence() {
     let refused = closed_after(&mut bench(ConsistencyMode::Strict), PeerFailure::Refused);
     let mute = closed_after(&mut bench(ConsistencyMode::Strict), PeerFailure::Mute);
-    let away = closed_after(&mut bench(ConsistencyMode::Strict), PeerFailure::Unreachable);
+    let away = closed_after(
+        &mut bench(ConsistencyMode::Strict),
+        PeerFailure::Unreachable,
+    );
     assert!(refused < Duration::from_secs(3), "{refused:?}");
     assert!(
         mute >= Duration::from_secs(12) && mute < Duration::from_secs(16),
