--- a/src/router/tests/behind.rs
+++ b/src/router/tests/behind.rs
@@ -29,9 +29,9 @@
 fn hear(site: &mut Site, version: u64) {
     let beat = Heartbeat {
         table: TableVersion(version),
-        ..site.peer_beat(0)
+        ..site.peer_heartbeat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.handle(Event::Heard(beat));
 }
 
 /// Returns how many times a peer was asked for its configuration.
@@ -52,10 +52,10 @@
 #[test]
 fn a_newer_configuration_is_fetched_from_a_peer() {
     let mut site = site_with_peer_at(2);
-    site.pass(CATCH_UP.as_millis() as u64);
+    site.advance(CATCH_UP.as_millis() as u64);
     assert_eq!(fetches(&site), 1);
-    site.tell(Event::Table(table(2, 1000)));
-    site.pass(5000);
+    site.handle(Event::Table(table(2, 1000)));
+    site.advance(5000);
     assert_eq!(fetches(&site), 1);
 }
 
@@ -63,9 +63,9 @@
 #[test]
 fn a_configuration_that_the_store_brings_is_not_fetched() {
     let mut site = site_with_peer_at(2);
-    site.pass(100);
-    site.tell(Event::Table(table(2, 1000)));
-    site.pass(2000);
+    site.advance(100);
+    site.handle(Event::Table(table(2, 1000)));
+    site.advance(2000);
     assert_eq!(fetches(&site), 0);
 }
 
@@ -73,7 +73,7 @@
 #[test]
 fn a_lost_configuration_is_fetched_again() {
     let mut site = site_with_peer_at(2);
-    site.pass(3000);
+    site.advance(3000);
     assert!(fetches(&site) > 1);
 }
 
@@ -84,19 +84,19 @@
         "engine-0" => entry(vm, 9100, &[("pool", "pool")]),
         _ => entry(vm, 8001, &[("role", "router"), ("peer", "127.0.0.1:8101")]),
     });
-    let mut site = Site::start_among(1000, vms.to_vec());
+    let mut site = Site::start_with_vms(1000, vms.to_vec());
     for vm in ["router-1", "router-2", "gone"] {
         let beat = Heartbeat {
             vm: vm.parse().expect("a name"),
             table: TableVersion(2),
-            ..site.peer_beat(0)
+            ..site.peer_heartbeat(0)
         };
-        site.tell(Event::Heard(beat));
+        site.handle(Event::Heard(beat));
     }
-    site.pass(CATCH_UP.as_millis() as u64);
+    site.advance(CATCH_UP.as_millis() as u64);
     assert_eq!(fetches(&site), 1);
     let refused = "router-1".parse().expect("a name");
-    site.tell(Event::TableUnsent(refused));
+    site.handle(Event::TableUnsent(refused));
     assert_eq!(fetches(&site), 2);
 }
 
@@ -104,10 +104,10 @@
 #[test]
 fn an_unknown_route_is_not_denied_by_an_old_configuration() {
     let mut site = site_with_peer_at(2);
-    let id = site.ask("added", 100, 50);
+    let id = site.send("added", 100, 50);
     assert_eq!(refusal(&site, id), BEHIND);
-    site.tell(Event::Table(table(2, 1000)));
-    let id = site.ask("added", 100, 50);
+    site.handle(Event::Table(table(2, 1000)));
+    let id = site.send("added", 100, 50);
     assert_eq!(refusal(&site, id), (ProblemKind::NoRoute, Ran::No, false));
 }
 
@@ -115,7 +115,7 @@
 #[test]
 fn an_unknown_key_is_not_denied_by_an_old_configuration() {
     let mut site = site_with_peer_at(2);
-    let id = site.ask_as("added", "stream", 100, 50);
+    let id = site.send_as("added", "stream", 100, 50);
     assert_eq!(refusal(&site, id), BEHIND);
 }
 
@@ -123,8 +123,8 @@
 #[test]
 fn a_spent_budget_is_not_denied_by_an_old_configuration() {
     let mut site = site_with_peer_at(2);
-    let id = site.ask("stream", 900, 200);
-    site.pass(1000);
+    let id = site.send("stream", 900, 200);
+    site.advance(1000);
     let expected = (ProblemKind::BudgetHeld, Ran::No, true);
     assert_eq!(refusal(&site, id), expected);
 }
@@ -133,13 +133,13 @@
 #[test]
 fn an_unknown_route_is_not_denied_without_word_from_the_store() {
     let mut site = Site::start(1000);
-    site.log = Log::Away;
-    site.pass(CONFIRM.as_millis() as u64 + 100);
-    let id = site.ask("added", 100, 50);
+    site.log = Log::Down;
+    site.advance(CONFIRM.as_millis() as u64 + 100);
+    let id = site.send("added", 100, 50);
     assert_eq!(refusal(&site, id), BEHIND);
     site.log = Log::Up;
-    site.pass(100);
-    let id = site.ask("added", 100, 50);
+    site.advance(100);
+    let id = site.send("added", 100, 50);
     assert_eq!(refusal(&site, id), (ProblemKind::NoRoute, Ran::No, false));
 }
 
@@ -147,11 +147,11 @@
 #[test]
 fn an_unknown_route_is_not_denied_by_an_old_answer_of_the_store() {
     let mut site = Site::start(1000);
-    site.log = Log::Away;
-    site.pass(CONFIRM.as_millis() as u64 + 100);
+    site.log = Log::Down;
+    site.advance(CONFIRM.as_millis() as u64 + 100);
     let old = site.now - CONFIRM - Duration::from_millis(20);
-    site.tell(Event::TableConfirmed(old));
-    let id = site.ask("added", 100, 50);
+    site.handle(Event::TableConfirmed(old));
+    let id = site.send("added", 100, 50);
     assert_eq!(refusal(&site, id), BEHIND);
 }
 
@@ -159,7 +159,7 @@
 #[test]
 fn known_routes_are_served_by_an_old_configuration() {
     let mut site = site_with_peer_at(2);
-    let id = site.ask("stream", 100, 50);
+    let id = site.send("stream", 100, 50);
     assert_eq!(site.runs(id).len(), 1);
 }
 
--- a/src/router/tests/bench.rs
+++ b/src/router/tests/bench.rs
@@ -37,7 +37,7 @@
 use crate::router::Tuning;
 use crate::router::Usage;
 use crate::router::Work;
-use crate::router::tests::site::WALL;
+use crate::router::tests::site::START_TIME;
 use crate::settings::EndMarker;
 use crate::tokens::Tokens;
 use crate::vms::VmEntry;
@@ -113,7 +113,7 @@
         parted: Duration::from_secs(3600),
         drain: Duration::from_secs(60),
         accounting: crate::router::Accounting::Ledger,
-        clock: boot_clock(1, WALL, Instant::now()),
+        clock: boot_clock(1, START_TIME, Instant::now()),
     }
 }
 
--- a/src/router/tests/drained_domains.rs
+++ b/src/router/tests/drained_domains.rs
@@ -41,11 +41,11 @@
 }
 
 fn site() -> Site {
-    Site::start_among(1_000_000, vms())
+    Site::start_with_vms(1_000_000, vms())
 }
 
 fn drain(site: &mut Site, as_of: u64, domains: &[usize]) {
-    site.tell(Event::DrainedDomains(drained(as_of, domains)));
+    site.handle(Event::DrainedDomains(drained(as_of, domains)));
 }
 
 /// Returns the failure domain in which a request last ran, if it ran.
@@ -57,7 +57,7 @@
 
 /// Sends requests, and returns in which failure domains they run.
 fn spread(site: &mut Site, count: usize) -> Vec<Option<usize>> {
-    let ids: Vec<_> = (0..count).map(|_| site.ask("stream", 10, 5)).collect();
+    let ids: Vec<_> = (0..count).map(|_| site.send("stream", 10, 5)).collect();
     ids.into_iter().map(|id| ran_in(site, id)).collect()
 }
 
@@ -69,7 +69,7 @@
     assert!(spread(&mut site, 12).iter().all(|at| *at == Some(1)));
     // Some of its endpoints are listed anew.
     let list = site.core.members.roster.list().clone();
-    site.tell(Event::VmList(list));
+    site.handle(Event::VmList(list));
     assert!(spread(&mut site, 2).iter().all(|at| *at == Some(1)));
 }
 
@@ -78,10 +78,10 @@
 fn a_retry_keeps_out_of_a_drained_domain() {
     let mut site = site();
     drain(&mut site, 5, &[1]);
-    let id = site.ask("stream", 10, 5);
+    let id = site.send("stream", 10, 5);
     assert_eq!(ran_in(&site, id), Some(0));
     drain(&mut site, 6, &[0]);
-    site.tell(Event::Ended(id, RunEnd::NotRun { retry: None }));
+    site.handle(Event::Ended(id, RunEnd::NotRun { retry: None }));
     assert_eq!(ran_in(&site, id), Some(1));
 }
 
@@ -90,11 +90,11 @@
 fn a_pool_that_is_drained_whole_refuses_at_once() {
     let mut site = site();
     drain(&mut site, 5, &[1]);
-    let mut ids: Vec<_> = (0..30).map(|_| site.ask("stream", 10, 5)).collect();
+    let mut ids: Vec<_> = (0..30).map(|_| site.send("stream", 10, 5)).collect();
     ids.retain(|id| site.runs(*id).is_empty());
     assert!(!ids.is_empty(), "some wait for room");
     drain(&mut site, 6, &[0, 1]);
-    ids.push(site.ask("stream", 10, 5));
+    ids.push(site.send("stream", 10, 5));
     for id in ids {
         let problem = site.refusal(id).expect("it is refused");
         let said = (problem.kind, problem.ran, problem.retry.is_some());
@@ -108,17 +108,17 @@
     let mut site = site();
     let beat = Heartbeat {
         drained: drained(5, &[0]),
-        ..site.peer_beat(0)
+        ..site.peer_heartbeat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.handle(Event::Heard(beat));
     assert!(spread(&mut site, 4).iter().all(|at| *at == Some(1)));
     assert_eq!(site.core.heartbeat(site.now).drained, drained(5, &[0]));
     // An older word, from a peer that does not know yet, changes nothing.
     let beat = Heartbeat {
         drained: drained(4, &[]),
-        ..site.peer_beat(0)
+        ..site.peer_heartbeat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.handle(Event::Heard(beat));
     assert!(spread(&mut site, 4).iter().all(|at| *at == Some(1)));
 }
 
@@ -134,7 +134,7 @@
     };
     // Two routers share what each of its endpoints bears.
     assert_eq!(served(&mut site), ENDPOINTS * COLD_RATE as usize / 2);
-    site.pass(WARMUP.as_millis() as u64 + 100);
+    site.advance(WARMUP.as_millis() as u64 + 100);
     assert!(served(&mut site) > 0);
 }
 
@@ -145,11 +145,11 @@
     drain(&mut site, 5, &[1]);
     let vm = |n: usize| format!("endpoint-{n}").parse().expect("a name");
     let words = vec![(vm(0), WARMUP), (vm(1), WARMUP)];
-    site.tell(Event::Cold(words));
-    let ids: Vec<_> = (0..8).map(|_| site.ask("stream", 10, 5)).collect();
+    site.handle(Event::Cold(words));
+    let ids: Vec<_> = (0..8).map(|_| site.send("stream", 10, 5)).collect();
     let ran = ids.iter().filter(|id| !site.runs(**id).is_empty()).count();
     assert_eq!(ran, ENDPOINTS * COLD_RATE as usize / 2);
-    site.tell(Event::Cold(vec![(vm(0), Duration::ZERO)]));
+    site.handle(Event::Cold(vec![(vm(0), Duration::ZERO)]));
     let ran = ids.iter().filter(|id| !site.runs(**id).is_empty()).count();
     assert_eq!(ran, ids.len());
 }
--- a/src/router/tests/fleet_clock.rs
+++ b/src/router/tests/fleet_clock.rs
@@ -6,17 +6,17 @@
 use crate::moment::Span;
 use crate::router::fleet_clock::FleetClock;
 use crate::router::tests::bench::boot_clock;
-use crate::router::tests::site::WALL;
+use crate::router::tests::site::START_TIME;
 
 const OTHERS: usize = 8;
 
 /// Returns a clock that knows those of other routers, which are so many seconds off.
 fn clock(now: Instant, off: &[i64]) -> FleetClock {
-    let mut clock = FleetClock::new(boot_clock(1, WALL, now));
+    let mut clock = FleetClock::new(boot_clock(1, START_TIME, now));
     clock.set_peer_count(OTHERS);
     for (number, off) in off.iter().enumerate() {
         let vm = format!("router-{number}").parse().expect("a name");
-        let wall = WALL.as_secs().saturating_add_signed(*off);
+        let wall = START_TIME.as_secs().saturating_add_signed(*off);
         clock.record_reading(now, &vm, Duration::from_secs(wall));
     }
     clock
@@ -35,9 +35,9 @@
 fn a_few_wrong_clocks_change_nothing() {
     let now = Instant::now();
     let clock = clock(now, &[-4, -4, 7, 7, 0, 0, 0, 0]);
-    assert_eq!(clock.reading(now).fleet, exact(WALL));
+    assert_eq!(clock.reading(now).fleet, exact(START_TIME));
     let later = Duration::from_secs(3);
-    assert_eq!(clock.reading(now + later).fleet, exact(WALL + later));
+    assert_eq!(clock.reading(now + later).fleet, exact(START_TIME + later));
 }
 
 /// Clocks that were set wrong in one direction are more than a quarter. They count, so that the span is too wide rather than
@@ -47,8 +47,8 @@
     let now = Instant::now();
     let span = clock(now, &[-4, -4, -4, 0, 0, 0, 0, 0]).reading(now).fleet;
     let span = span.expect("enough of them are known");
-    assert_eq!(span.earliest + Duration::from_secs(4), WALL);
-    assert_eq!(span.latest, WALL);
+    assert_eq!(span.earliest + Duration::from_secs(4), START_TIME);
+    assert_eq!(span.latest, START_TIME);
 }
 
 /// Of half of the other routers nothing was heard: theirs may be the right ones.
@@ -64,10 +64,10 @@
 #[test]
 fn no_clocks_are_enough_before_the_routers_are_listed() {
     let now = Instant::now();
-    let mut clock = FleetClock::new(boot_clock(1, WALL, now));
+    let mut clock = FleetClock::new(boot_clock(1, START_TIME, now));
     for vm in ["router-1", "router-2"] {
         let vm = vm.parse().expect("a name");
-        assert!(!clock.record_reading(now, &vm, WALL));
+        assert!(!clock.record_reading(now, &vm, START_TIME));
     }
     assert_eq!(clock.start_reading(now).fleet, None);
     clock.set_peer_count(OTHERS);
@@ -80,10 +80,10 @@
     let start = Instant::now();
     let mut clock = clock(start, &[0; 5]);
     let now = start + Duration::from_secs(1);
-    assert_eq!(clock.start_reading(now).fleet, exact(WALL));
+    assert_eq!(clock.start_reading(now).fleet, exact(START_TIME));
     for number in 0..OTHERS {
         let vm = format!("router-{number}").parse().expect("a name");
-        clock.record_reading(now, &vm, WALL);
+        clock.record_reading(now, &vm, START_TIME);
     }
-    assert_eq!(clock.start_reading(now).fleet, exact(WALL));
+    assert_eq!(clock.start_reading(now).fleet, exact(START_TIME));
 }
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -39,10 +39,10 @@
 #[test]
 fn what_was_used_is_spent_and_the_rest_comes_back() {
     let mut site = Site::start(10_000);
-    let id = site.ask("stream", 100, 50);
+    let id = site.send("stream", 100, 50);
     assert_eq!(site.runs(id).len(), 1);
     assert_eq!(budget(&site, "reserved_here"), 150);
-    site.tell(Event::Ended(id, whole(21)));
+    site.handle(Event::Ended(id, whole(21)));
     assert_eq!(budget(&site, "reserved_here"), 0);
     assert_eq!(budget(&site, "spent_here"), 121);
 }
@@ -50,8 +50,8 @@
 /// Returns what a request of a hundred tokens and at most fifty uses whose run ends so.
 fn used(route: &str, end: RunEnd) -> u64 {
     let mut site = Site::start(10_000);
-    let id = site.ask(route, 100, 50);
-    site.tell(Event::Ended(id, end));
+    let id = site.send(route, 100, 50);
+    site.handle(Event::Ended(id, end));
     assert_eq!(budget(&site, "reserved_here"), 0);
     budget(&site, "spent_here")
 }
@@ -94,18 +94,18 @@
 #[test]
 fn a_spent_budget_is_said_at_once() {
     let mut site = Site::start(1000);
-    let id = site.ask("stream", 900, 50);
-    site.tell(Event::Ended(id, whole(50)));
-    let id = site.ask("stream", 100, 50);
-    site.pass(40);
+    let id = site.send("stream", 900, 50);
+    site.handle(Event::Ended(id, whole(50)));
+    let id = site.send("stream", 100, 50);
+    site.advance(40);
     let problem = site.refusal(id).expect("it is refused");
     assert_eq!(
         (problem.kind, problem.ran),
         (ProblemKind::BudgetSpent, Ran::No)
     );
-    site.tell(Event::Table(table(2, 2000)));
-    let id = site.ask("stream", 100, 50);
-    site.pass(40);
+    site.handle(Event::Table(table(2, 2000)));
+    let id = site.send("stream", 100, 50);
+    site.advance(40);
     assert_eq!(site.runs(id).len(), 1);
     assert!(budget(&site, "granted_here") <= 2000);
 }
@@ -115,19 +115,19 @@
 #[test]
 fn budget_is_borrowed_in_a_cut() {
     let mut site = Site::start(1_000_000);
-    site.log = Log::Away;
-    site.hear_peer(500_000);
-    let id = site.ask("stream", 300_000, 50);
-    site.pass(1500);
-    site.hear_peer(500_000);
+    site.log = Log::Down;
+    site.receive_peer_heartbeat(500_000);
+    let id = site.send("stream", 300_000, 50);
+    site.advance(1500);
+    site.receive_peer_heartbeat(500_000);
     let ask = site.effects.iter().find_map(|effect| match effect {
         Effect::Borrow(ask, _) => Some(ask.clone()),
         _ => None,
     });
     let ask = ask.expect("it asks the other router");
     assert!(site.refusal(id).is_none(), "it waits for the answer");
-    site.tell(Event::Lent(ask, Some(Tokens(300_000))));
-    site.pass(20);
+    site.handle(Event::Lent(ask, Some(Tokens(300_000))));
+    site.advance(20);
     assert_eq!(site.runs(id).len(), 1);
 }
 
@@ -136,10 +136,10 @@
 #[test]
 fn a_cut_without_lenders_is_said_at_once() {
     let mut site = Site::start(1_000_000);
-    site.log = Log::Away;
-    site.pass(3000);
-    let id = site.ask("stream", 300_000, 50);
-    site.pass(500);
+    site.log = Log::Down;
+    site.advance(3000);
+    let id = site.send("stream", 300_000, 50);
+    site.advance(500);
     let problem = site.refusal(id).expect("it is refused");
     assert_eq!(
         (problem.kind, problem.ran),
@@ -154,11 +154,11 @@
     let mut asked = Vec::new();
     let mut open = Vec::new();
     for _ in 0..seconds * 10 {
-        let urgent = site.ask("urgent", 93, 7);
-        let other = site.ask("stream", 993, 7);
+        let urgent = site.send("urgent", 93, 7);
+        let other = site.send("stream", 993, 7);
         open.extend([urgent, other]);
         end_running(site, &mut open);
-        site.pass(100);
+        site.advance(100);
         end_running(site, &mut open);
         asked.push((urgent, other));
     }
@@ -169,7 +169,7 @@
 fn end_running(site: &mut Site, open: &mut Vec<RequestId>) {
     for id in std::mem::take(open) {
         match (site.runs(id).is_empty(), site.refusal(id)) {
-            (false, _) => site.tell(Event::Ended(id, whole(7))),
+            (false, _) => site.handle(Event::Ended(id, whole(7))),
             (true, None) => open.push(id),
             (true, Some(_)) => {}
         }
@@ -183,10 +183,10 @@
 fn what_is_left_in_a_cut_is_kept_for_the_urgent() {
     let mut site = Site::start(110_000);
     ask_for(&mut site, 4);
-    site.log = Log::Away;
+    site.log = Log::Down;
     ask_for(&mut site, 4);
     let asked = ask_for(&mut site, 1);
-    site.pass(500);
+    site.advance(500);
     assert!(
         asked
             .iter()
@@ -238,11 +238,11 @@
         spent: Tokens::ZERO,
         pace: None,
     };
-    let at = Offset(site.end);
-    site.end += 1;
-    site.tell(Event::Grants(GrantEvent::Read {
+    let at = Offset(site.log_end);
+    site.log_end += 1;
+    site.handle(Event::Grants(GrantEvent::Read {
         rows: vec![(at, key, row)],
-        end: Offset(site.end),
+        end: Offset(site.log_end),
     }));
 }
 
@@ -252,18 +252,18 @@
 #[test]
 fn what_was_lent_without_an_answer_is_asked_for_again() {
     let mut site = Site::start(1_000_000);
-    site.log = Log::Away;
-    site.hear_peer(500_000);
-    site.ask("stream", 300_000, 50);
-    site.pass(1500);
-    site.hear_peer(500_000);
+    site.log = Log::Down;
+    site.receive_peer_heartbeat(500_000);
+    site.send("stream", 300_000, 50);
+    site.advance(1500);
+    site.receive_peer_heartbeat(500_000);
     let first = borrowed(&site).pop().expect("it asks the other router");
-    site.tell(Event::Lent(first.clone(), None));
+    site.handle(Event::Lent(first.clone(), None));
     site.effects.clear();
-    site.pass(1500);
+    site.advance(1500);
     assert!(borrowed(&site).is_empty(), "it was not heard of yet");
-    site.hear_peer(0);
-    site.pass(1500);
+    site.receive_peer_heartbeat(0);
+    site.advance(1500);
     let again = borrowed(&site);
     let again = again.iter().find(|ask| ask.number == first.number);
     let again = again.expect("it asks again");
@@ -272,8 +272,8 @@
         Tokens::ZERO,
         "a lender that never heard of it keeps its own"
     );
-    site.tell(Event::Lent(first.clone(), Some(Tokens(300_000))));
-    site.tell(Event::Lent(first, Some(Tokens(300_000))));
+    site.handle(Event::Lent(first.clone(), Some(Tokens(300_000))));
+    site.handle(Event::Lent(first, Some(Tokens(300_000))));
     assert_eq!(budget(&site, "borrowed"), 300_000, "it counts once");
 }
 
@@ -291,9 +291,9 @@
 #[test]
 fn a_loan_counts_once() {
     let mut site = Site::start(1_000_000);
-    let id = site.ask("stream", 1000, 50);
-    site.tell(Event::Ended(id, whole(50)));
-    site.pass(3000);
+    let id = site.send("stream", 1000, 50);
+    site.handle(Event::Ended(id, whole(50)));
+    site.advance(3000);
     let ask = LoanAsk {
         borrower: Incarnation(99),
         number: 1,
@@ -328,8 +328,8 @@
 #[test]
 fn what_may_have_run_is_not_said_not_to_have() {
     let mut site = Site::start(1000);
-    let id = site.ask("once", 0, 0);
-    site.tell(Event::Ended(id, broken(false)));
+    let id = site.send("once", 0, 0);
+    site.handle(Event::Ended(id, broken(false)));
     let problem = site.refusal(id).expect("it fails");
     assert_eq!(problem.kind.status(), 502);
     assert_eq!(site.runs(id).len(), 1);
@@ -339,8 +339,8 @@
 #[test]
 fn what_did_not_run_goes_elsewhere() {
     let mut site = Site::start(1000);
-    let id = site.ask("once", 0, 0);
-    site.tell(Event::Ended(id, RunEnd::NotRun { retry: None }));
+    let id = site.send("once", 0, 0);
+    site.handle(Event::Ended(id, RunEnd::NotRun { retry: None }));
     let runs = site.runs(id);
     assert_eq!(runs.len(), 2);
     assert_ne!(runs[0].endpoint, runs[1].endpoint);
@@ -350,10 +350,10 @@
 #[test]
 fn a_stream_goes_on_elsewhere() {
     let mut site = Site::start(10_000);
-    let id = site.ask("stream", 100, 50);
-    site.tell(Event::Ended(id, broken(true)));
+    let id = site.send("stream", 100, 50);
+    site.handle(Event::Ended(id, broken(true)));
     assert_eq!(site.runs(id).len(), 2);
-    site.tell(Event::Ended(id, broken(true)));
+    site.handle(Event::Ended(id, broken(true)));
     assert_eq!(site.runs(id).len(), 2);
     let problem = site.refusal(id).expect("it is cut");
     assert_eq!(problem.kind, ProblemKind::EndpointFailed);
@@ -365,11 +365,11 @@
 #[test]
 fn a_silent_endpoint_is_left() {
     let mut site = Site::start(1000);
-    let id = site.ask("again", 0, 0);
-    site.pass(600);
+    let id = site.send("again", 0, 0);
+    site.advance(600);
     let left = |effect: &Effect| matches!(effect, Effect::Leave(of) if *of == id);
     assert_eq!(site.effects.iter().filter(|e| left(e)).count(), 1);
-    site.tell(Event::Ended(id, broken(false)));
+    site.handle(Event::Ended(id, broken(false)));
     assert_eq!(site.runs(id).len(), 2);
 }
 
@@ -377,8 +377,8 @@
 #[test]
 fn the_routes_time_is_kept() {
     let mut site = Site::start(1000);
-    let id = site.ask("once", 0, 0);
-    site.pass(2040);
+    let id = site.send("once", 0, 0);
+    site.advance(2040);
     let cuts = site
         .effects
         .iter()
@@ -395,20 +395,20 @@
 #[test]
 fn a_stop_serves_those_who_keep_the_address() {
     let mut site = Site::start(10_000);
-    site.tell(Event::Drain);
-    site.pass(4000);
-    let id = site.ask("stream", 100, 50);
+    site.handle(Event::Drain);
+    site.advance(4000);
+    let id = site.send("stream", 100, 50);
     assert_eq!(site.runs(id).len(), 1);
     assert_eq!(site.refusal(id), None);
-    site.pass(LINGER.as_millis() as u64 - 4000 + 40);
+    site.advance(LINGER.as_millis() as u64 - 4000 + 40);
     let exits = |site: &Site| {
         site.effects
             .iter()
             .any(|e| matches!(e, Effect::Exit { .. }))
     };
     assert!(!exits(&site), "a request is in progress");
-    site.tell(Event::Ended(id, whole(10)));
-    site.pass(100);
+    site.handle(Event::Ended(id, whole(10)));
+    site.advance(100);
     assert!(exits(&site));
     assert_eq!(budget(&site, "granted_here"), budget(&site, "spent_here"));
 }
@@ -418,15 +418,15 @@
 #[test]
 fn a_stop_in_a_cut_hands_budget_over() {
     let mut site = Site::start(1_000_000);
-    let id = site.ask("stream", 1000, 50);
-    site.tell(Event::Ended(id, whole(50)));
-    site.pass(3000);
-    site.log = Log::Away;
-    site.pass(2000);
-    site.tell(Event::Drain);
+    let id = site.send("stream", 1000, 50);
+    site.handle(Event::Ended(id, whole(50)));
+    site.advance(3000);
+    site.log = Log::Down;
+    site.advance(2000);
+    site.handle(Event::Drain);
     for _ in 0..12 {
-        site.hear_peer(0);
-        site.pass(500);
+        site.receive_peer_heartbeat(0);
+        site.advance(500);
     }
     let given = site
         .effects
@@ -440,17 +440,17 @@
 #[test]
 fn what_would_be_cut_off_goes_elsewhere() {
     let mut site = Site::start(10_000);
-    let busy = site.ask("stream", 100, 50);
-    site.tell(Event::Drain);
-    site.pass(5600);
-    let short = site.ask("once", 0, 0);
+    let busy = site.send("stream", 100, 50);
+    site.handle(Event::Drain);
+    site.advance(5600);
+    let short = site.send("once", 0, 0);
     assert_eq!(
         site.runs(short).len(),
         1,
         "2.0 s fit into what is left of 7.7 s"
     );
-    site.pass(200);
-    let long = site.ask("once", 0, 0);
+    site.advance(200);
+    let long = site.send("once", 0, 0);
     let problem = site.refusal(long).expect("it is refused");
     assert_eq!(
         (problem.kind, problem.ran),
--- a/src/router/tests/heartbeats.rs
+++ b/src/router/tests/heartbeats.rs
@@ -26,9 +26,9 @@
 #[test]
 fn in_a_large_fleet_peers_take_turns() {
     let mut site = Site::start(1000);
-    site.list_routers(80);
+    site.list_peers(80);
     site.effects.clear();
-    site.pass(7500);
+    site.advance(7500);
     let (counts, most) = told(&site);
     assert!(most <= 12, "{most} at once");
     assert_eq!(counts.len(), 80, "each had a turn");
@@ -40,9 +40,9 @@
 #[test]
 fn in_a_small_fleet_all_hear_at_once() {
     let mut site = Site::start(1000);
-    site.list_routers(6);
+    site.list_peers(6);
     site.effects.clear();
-    site.pass(5000);
+    site.advance(5000);
     let (counts, most) = told(&site);
     assert_eq!((counts.len(), most), (6, 6));
 }
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -16,7 +16,7 @@
 use crate::router::tests::site::Site;
 use crate::router::tests::site::entry;
 use crate::router::tests::site::payer;
-use crate::router::tests::site::table_of;
+use crate::router::tests::site::table_with_payers;
 use crate::router::tests::site::whole;
 use crate::tokens::Tokens;
 use crate::vms::VmEntry;
@@ -38,7 +38,7 @@
 
 /// Brings up a router for which others keep the budget.
 fn guest() -> Site {
-    let mut site = Site::start_among(1_000_000, fleet());
+    let mut site = Site::start_with_vms(1_000_000, fleet());
     site.effects.clear();
     site
 }
@@ -58,7 +58,7 @@
     let mut own = entry("router-0", 8000, &role);
     own.domain = domain.parse().expect("a name");
     let vms = fleet().into_iter().chain([own]).collect();
-    let mut site = Site::start_among(1_000_000, vms);
+    let mut site = Site::start_with_vms(1_000_000, vms);
     site.effects.clear();
     site
 }
@@ -98,7 +98,7 @@
         asked: Tokens(number * amount),
         priority,
     };
-    site.tell(Event::LoanAsked(AdminId(id), ask));
+    site.handle(Event::LoanAsked(AdminId(id), ask));
 }
 
 /// Returns what a question for a loan was answered.
@@ -114,10 +114,10 @@
 #[test]
 fn who_keeps_nothing_borrows_and_writes_nothing() {
     let mut site = guest();
-    let id = site.ask("stream", 100, 50);
+    let id = site.send("stream", 100, 50);
     let (ask, _) = asked(&site).pop().expect("an owner is asked at once");
     assert_eq!(ask.amount, Tokens(150));
-    site.tell(Event::Lent(ask, Some(Tokens(150))));
+    site.handle(Event::Lent(ask, Some(Tokens(150))));
     assert!(is_run(&site, id));
     assert_eq!(proposals(&site), 0);
 }
@@ -127,21 +127,21 @@
 #[test]
 fn silent_owners_are_passed_over() {
     let mut site = guest();
-    let id = site.ask("stream", 100, 50);
+    let id = site.send("stream", 100, 50);
     let mut addresses = Vec::new();
     for _ in 0..3 {
         let (ask, peer) = asked(&site).pop().expect("one is asked");
         addresses.push(peer.address);
-        site.tell(Event::Lent(ask, None));
+        site.handle(Event::Lent(ask, None));
     }
     addresses.dedup();
     assert_eq!(addresses.len(), 3);
-    site.pass(100);
+    site.advance(100);
     assert!(is_run(&site, id));
     assert_eq!(proposals(&site), 1);
     // The next requests don't wait for the same silence.
-    site.pass(4000);
-    site.ask("stream", 1000, 500_000);
+    site.advance(4000);
+    site.send("stream", 1000, 500_000);
     assert_eq!(asked(&site).len(), 3);
 }
 
@@ -150,15 +150,15 @@
 #[test]
 fn what_is_left_over_goes_back_to_an_owner() {
     let mut site = guest();
-    let id = site.ask("stream", 100, 900);
+    let id = site.send("stream", 100, 900);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
-    site.tell(Event::Lent(ask, Some(Tokens(1000))));
+    site.handle(Event::Lent(ask, Some(Tokens(1000))));
     let usage = Usage {
         prompt: Tokens::ZERO,
         answer: Tokens(20),
     };
-    site.tell(Event::Ended(id, RunEnd::Whole { usage }));
-    site.pass(15_000);
+    site.handle(Event::Ended(id, RunEnd::Whole { usage }));
+    site.advance(15_000);
     let gifts: Vec<&Gift> = site
         .effects
         .iter()
@@ -178,7 +178,7 @@
     let mut site = owner();
     ask_owner(&mut site, 1, 1, 5000);
     ask_owner(&mut site, 1, 2, 5000);
-    site.pass(100);
+    site.advance(100);
     assert_eq!(lent(&site, 1), Some(5000));
     assert_eq!(lent(&site, 2), Some(5000));
     let dump = site.core.funds.dump(site.now);
@@ -191,11 +191,11 @@
 fn an_owner_without_the_log_lends_what_it_can() {
     let mut site = owner();
     ask_owner(&mut site, 1, 1, 5000);
-    site.pass(3000);
-    site.log = Log::Away;
-    site.pass(2000);
+    site.advance(3000);
+    site.log = Log::Down;
+    site.advance(2000);
     ask_owner(&mut site, 2, 2, 900_000);
-    site.pass(160);
+    site.advance(160);
     let answer = lent(&site, 2);
     let part = answer.is_some_and(|lent| 0 < lent && lent < 900_000);
     assert!(part, "{answer:?}");
@@ -208,12 +208,12 @@
     let mut site = owner();
     for number in 1..=30 {
         ask_owner(&mut site, number, number, 10_000);
-        site.pass(100);
+        site.advance(100);
     }
-    site.log = Log::Away;
+    site.log = Log::Down;
     ask_owner_for(&mut site, 1, 100, 100, 300_000);
     ask_owner_for(&mut site, 1, 100, 101, 300_000);
-    site.pass(200);
+    site.advance(200);
     let answers = [100, 101].map(|id| lent(&site, id));
     assert!(answers[0].is_some());
     assert_eq!(answers[0], answers[1]);
@@ -224,15 +224,15 @@
 fn an_owner_borrows_for_its_own_callers_alone() {
     let mut site = owner();
     ask_owner(&mut site, 1, 1, 5000);
-    site.pass(1000);
+    site.advance(1000);
     hear_owner(&mut site, "loans");
-    site.log = Log::Away;
-    site.pass(1000);
+    site.log = Log::Down;
+    site.advance(1000);
     ask_owner(&mut site, 2, 2, 900_000);
-    site.pass(140);
+    site.advance(140);
     assert_eq!(asked(&site).len(), 0);
-    site.ask("urgent", 800_000, 50);
-    site.pass(100);
+    site.send("urgent", 800_000, 50);
+    site.advance(100);
     let (ask, _) = asked(&site).pop().expect("its own caller waits");
     assert!(ask.amount <= Tokens(1_000_000), "{}", ask.amount);
 }
@@ -241,12 +241,12 @@
 /// after some milliseconds.
 fn second_question(took: u64) -> u64 {
     let mut site = guest();
-    site.ask("stream", 500, 500);
-    site.pass(took);
+    site.send("stream", 500, 500);
+    site.advance(took);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
     let amount = ask.amount;
-    site.tell(Event::Lent(ask, Some(amount)));
-    site.ask("stream", 500, 500);
+    site.handle(Event::Lent(ask, Some(amount)));
+    site.send("stream", 500, 500);
     let (ask, _) = asked(&site).pop().expect("an owner is asked");
     ask.amount.0
 }
@@ -267,23 +267,23 @@
     let mut waited = 0;
     let mut open = Vec::new();
     for turn in 0..200 {
-        let id = site.ask("stream", 500, 500);
+        let id = site.send("stream", 500, 500);
         waited += usize::from(turn >= 100 && !is_run(&site, id));
         open.push(id);
         for id in open
             .extract_if(.., |id| is_run(&site, *id))
             .collect::<Vec<_>>()
         {
-            site.tell(Event::Ended(id, whole(500)));
+            site.handle(Event::Ended(id, whole(500)));
         }
-        site.pass(20);
+        site.advance(20);
         asked_at.resize(asked(&site).len(), turn);
         // Each question is answered after a fifth of a second.
         while asked_at.get(answered).is_some_and(|at| turn >= at + 10) {
             let (ask, _) = asked(&site)[answered].clone();
             answered += 1;
             let amount = ask.amount;
-            site.tell(Event::Lent(ask, Some(amount)));
+            site.handle(Event::Lent(ask, Some(amount)));
         }
     }
     assert!(waited <= 10, "{waited} of 100 wait");
@@ -295,20 +295,20 @@
 fn nobody_is_asked_for_nothing() {
     let mut site = owner_in("domain-0");
     let [own, others] = share_with_others(&mut site);
-    site.ask_as(&own, "stream", 100, 50);
-    site.pass(1000);
-    site.log = Log::Away;
-    site.ask_as(&own, "stream", 900_000, 50);
-    site.pass(1000);
+    site.send_as(&own, "stream", 100, 50);
+    site.advance(1000);
+    site.log = Log::Down;
+    site.send_as(&own, "stream", 900_000, 50);
+    site.advance(1000);
     for _ in 0..10 {
-        site.ask_as(&others, "urgent", 1000, 500);
+        site.send_as(&others, "urgent", 1000, 500);
         lend_what_is_asked(&mut site);
         hear_owner(&mut site, &others);
-        site.pass(100);
+        site.advance(100);
     }
-    let id = site.ask_as(&others, "stream", 100, 50);
+    let id = site.send_as(&others, "stream", 100, 50);
     lend_what_is_asked(&mut site);
-    site.pass(100);
+    site.advance(100);
     let asked = asked(&site);
     let nothing = asked.iter().filter(|(ask, _)| ask.amount == Tokens::ZERO);
     assert_eq!(nothing.count(), 0);
@@ -319,7 +319,7 @@
 fn share_with_others(site: &mut Site) -> [String; 2] {
     let teams: Vec<_> = (0..40).map(|n| format!("team-{n}")).collect();
     let payers = teams.iter().map(|team| payer(team, team, 1_000_000));
-    site.tell(Event::Table(table_of(2, payers.collect())));
+    site.handle(Event::Table(table_with_payers(2, payers.collect())));
     let ownership = &site.core.funds.ownership;
     let own = |name: &String| ownership.owns_for_all(&name.parse().expect("a name"));
     let (mine, others): (Vec<_>, Vec<_>) = teams.into_iter().partition(own);
@@ -336,9 +336,9 @@
     let beat = Heartbeat {
         vm: "peer-0".parse().expect("a name"),
         purses: vec![word],
-        ..site.peer_beat(0)
+        ..site.peer_heartbeat(0)
     };
-    site.tell(Event::Heard(beat));
+    site.handle(Event::Heard(beat));
 }
 
 /// Answers the newest question for a loan in full, and those that follow from that, up to a bound.
@@ -349,6 +349,6 @@
             return;
         };
         let amount = ask.amount;
-        site.tell(Event::Lent(ask, Some(amount)));
+        site.handle(Event::Lent(ask, Some(amount)));
     }
 }
--- a/src/router/tests/power_lost.rs
+++ b/src/router/tests/power_lost.rs
@@ -40,24 +40,24 @@
     let mut used = 0;
     for tenth in 0..seconds * 10 {
         if tenth % 5 == 0 {
-            site.hear_routers(OTHERS);
+            site.receive_heartbeats(OTHERS);
         }
-        let id = site.ask("stream", DEMAND / 10 - 7, 7);
-        site.pass(20);
+        let id = site.send("stream", DEMAND / 10 - 7, 7);
+        site.advance(20);
         if !site.runs(id).is_empty() {
-            site.tell(Event::Ended(id, whole(7)));
+            site.handle(Event::Ended(id, whole(7)));
             used += DEMAND / 10;
         }
-        site.pass(80);
+        site.advance(80);
     }
     used
 }
 
 /// Has all routers lose their power, and returns how much more than was used counts as used afterwards.
 fn lost_with_power(site: &mut Site, used: u64) -> u64 {
-    site.lose_power(DOWN);
-    site.hear_routers(OTHERS);
-    site.pass(SETTLED);
+    site.power_cycle(DOWN);
+    site.receive_heartbeats(OTHERS);
+    site.advance(SETTLED);
     thought_used(site) - used
 }
 
@@ -78,7 +78,7 @@
 /// clocks. So the time for which it was down, a second for the promise's age, its reserve and the haste, and not more.
 #[test]
 fn little_more_than_the_time_without_power_is_lost() {
-    let mut site = Site::start_among(PREPAID, vms());
+    let mut site = Site::start_with_vms(PREPAID, vms());
     let used = serve(&mut site, 10);
     assert_eq!(used, 10 * DEMAND);
     let lost = lost_with_power(&mut site, used);
@@ -91,16 +91,16 @@
 /// and the team be served more than it prepaid.
 #[test]
 fn a_clock_that_fell_back_gives_nothing_back_that_was_used() {
-    let mut site = Site::start_ahead(PREPAID, vms(), Duration::from_secs(5));
+    let mut site = Site::start_with_clock_ahead(PREPAID, vms(), Duration::from_secs(5));
     let mut used = serve(&mut site, 10);
-    site.log = Log::Away;
+    site.log = Log::Down;
     used += serve(&mut site, 4);
     assert!(used > 13 * DEMAND, "{used} tokens");
-    site.lose_power(DOWN);
+    site.power_cycle(DOWN);
     site.log = Log::Up;
-    site.pass(500);
-    site.hear_routers(OTHERS);
-    site.pass(SETTLED);
+    site.advance(500);
+    site.receive_heartbeats(OTHERS);
+    site.advance(SETTLED);
     let thought = thought_used(&site);
     assert!(thought >= used, "{thought} of {used} tokens");
 }
@@ -109,11 +109,11 @@
 /// the allowance for its having been set back.
 #[test]
 fn few_clocks_are_not_believed() {
-    let mut site = Site::start_among(PREPAID, vms());
+    let mut site = Site::start_with_vms(PREPAID, vms());
     let used = serve(&mut site, 10);
-    site.lose_power(DOWN);
-    site.hear_routers(1);
-    site.pass(SETTLED);
+    site.power_cycle(DOWN);
+    site.receive_heartbeats(1);
+    site.advance(SETTLED);
     let lost = thought_used(&site) - used;
     let least = DEMAND * (DOWN.as_millis() as u64 + 3000) / 1000;
     assert!(lost >= least, "{lost} of at least {least} tokens");
@@ -123,11 +123,11 @@
 /// had opened was lost with the routers' power.
 #[test]
 fn little_is_lost_of_a_budget_that_nobody_asks_for() {
-    let mut site = Site::start_among(PREPAID, vms());
+    let mut site = Site::start_with_vms(PREPAID, vms());
     let used = serve(&mut site, 10);
     for _ in 0..120 {
-        site.hear_routers(OTHERS);
-        site.pass(500);
+        site.receive_heartbeats(OTHERS);
+        site.advance(500);
     }
     let lost = lost_with_power(&mut site, used);
     let most = DEMAND * (DOWN.as_millis() as u64 + 1000) / 1000;
--- a/src/router/tests/reborn.rs
+++ b/src/router/tests/reborn.rs
@@ -29,18 +29,18 @@
 fn a_new_life_begins_with_nothing() {
     let mut site = Site::start(1_000_000);
     let first = endpoint(&site, "1000");
-    site.tell(first);
+    site.handle(first);
     for _ in 0..8 {
-        site.ask("stream", 100, 50);
+        site.send("stream", 100, 50);
     }
     assert!(load(&site).is_some_and(|load| load > 0));
     let same = endpoint(&site, "1000");
-    site.tell(same);
+    site.handle(same);
     assert!(
         load(&site).is_some_and(|load| load > 0),
         "it is the same life"
     );
     let again = endpoint(&site, "9000");
-    site.tell(again);
+    site.handle(again);
     assert_eq!(load(&site), Some(0));
 }
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -50,10 +50,10 @@
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(2000);
 pub(crate) const OBJECTIVE: Duration = Duration::from_millis(200);
 /// How many answers of the log one event may bring about, each of them being the ground for the next call.
-const MOST_TURNS: usize = 100;
+const MAX_EVENTS: usize = 100;
 
 /// What time of day it is when a site starts, since the Unix epoch.
-pub(crate) const WALL: Duration = Duration::from_secs(1_800_000_000);
+pub(crate) const START_TIME: Duration = Duration::from_secs(1_800_000_000);
 /// How long an endpoint is cold, and how many requests a second it bears then.
 pub(crate) const WARMUP: Duration = Duration::from_secs(3);
 pub(crate) const COLD_RATE: u32 = 4;
@@ -67,7 +67,7 @@
     /// It carries it out.
     Up,
     /// Nothing comes back, and nothing was done.
-    Away,
+    Down,
 }
 
 pub(crate) struct Site {
@@ -76,10 +76,10 @@
     pub(crate) started: Instant,
     pub(crate) log: Log,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) end: u64,
+    pub(crate) log_end: u64,
     /// What the log holds of this router.
     pub(crate) rows: Vec<(Offset, GrantKey, GrantRow)>,
-    next: u64,
+    next_id: u64,
 }
 
 fn name<T>(text: &str) -> T
@@ -92,7 +92,7 @@
 
 /// A table with one route for each kind of repetition, and one payer.
 pub(crate) fn table(version: u64, prepaid: u64) -> Arc<RouteTable> {
-    table_of(version, vec![payer("loans", "key", prepaid)])
+    table_with_payers(version, vec![payer("loans", "key", prepaid)])
 }
 
 /// Returns a payer whose callers have a key.
@@ -107,7 +107,7 @@
 }
 
 /// The same with other payers.
-pub(crate) fn table_of(version: u64, payers: Vec<Payer>) -> Arc<RouteTable> {
+pub(crate) fn table_with_payers(version: u64, payers: Vec<Payer>) -> Arc<RouteTable> {
     let route = |prefix: &str, repeat, attempts| PathRoute {
         name: name(prefix),
         host: "maps.example".to_owned(),
@@ -192,59 +192,59 @@
             entry("engine-1", 9101, &[("pool", "pool")]),
             entry("router-1", 8001, &role),
         ];
-        Self::start_among(prepaid, vms)
+        Self::start_with_vms(prepaid, vms)
     }
 
     /// Brings up a router that serves among these VMs; its team prepaid so much.
-    pub(crate) fn start_among(prepaid: u64, vms: Vec<VmEntry>) -> Self {
-        Self::start_ahead(prepaid, vms, Duration::ZERO)
+    pub(crate) fn start_with_vms(prepaid: u64, vms: Vec<VmEntry>) -> Self {
+        Self::start_with_clock_ahead(prepaid, vms, Duration::ZERO)
     }
 
     /// Brings up a router whose VM's time of day is ahead of that of all others.
-    pub(crate) fn start_ahead(prepaid: u64, vms: Vec<VmEntry>, ahead: Duration) -> Self {
+    pub(crate) fn start_with_clock_ahead(prepaid: u64, vms: Vec<VmEntry>, ahead: Duration) -> Self {
         let now = Instant::now();
-        let clock = boot_clock(1, WALL + ahead, now);
+        let clock = boot_clock(1, START_TIME + ahead, now);
         let mut site = Self {
             core: Core::new(now, site_tuning(clock), 7),
             now,
             started: now,
             log: Log::Up,
             effects: Vec::new(),
-            end: 0,
+            log_end: 0,
             rows: Vec::new(),
-            next: 1,
+            next_id: 1,
         };
-        site.tell(Event::Table(table(1, prepaid)));
-        site.tell(Event::VmList(VmList { as_of: 1, vms }));
-        site.pass(100);
+        site.handle(Event::Table(table(1, prepaid)));
+        site.handle(Event::VmList(VmList { as_of: 1, vms }));
+        site.advance(100);
         site
     }
 
     /// Has the router's VM lose its power and be back after a while, its time of day set right: a process that knows nothing
     /// starts on it.
-    pub(crate) fn lose_power(&mut self, down: Duration) {
+    pub(crate) fn power_cycle(&mut self, down: Duration) {
         let list = self.core.members.roster.list().clone();
         let table = self.core.table.clone().expect("a table");
         self.now += down;
         let started = self.now;
-        let clock = boot_clock(2, self.wall(), started);
+        let clock = boot_clock(2, self.wall_clock(), started);
         self.core = Core::new(started, site_tuning(clock), 8);
-        self.tell(Event::Table(table));
-        self.tell(Event::VmList(list));
+        self.handle(Event::Table(table));
+        self.handle(Event::VmList(list));
     }
 
     /// Returns what time of day it is.
-    fn wall(&self) -> Duration {
-        WALL + (self.now - self.started)
+    fn wall_clock(&self) -> Duration {
+        START_TIME + (self.now - self.started)
     }
 
     /// Tells the core something, and answers what it asks the log.
-    pub(crate) fn tell(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         let mut events = vec![event];
-        let mut turns = 0;
+        let mut handled = 0;
         while let Some(event) = events.pop() {
-            turns += 1;
-            assert!(turns <= MOST_TURNS, "it calls the log without end");
+            handled += 1;
+            assert!(handled <= MAX_EVENTS, "it calls the log without end");
             for effect in self.core.handle(self.now, event) {
                 let answer = match &effect {
                     Effect::ProposeGrants(proposal) => Some(self.propose(proposal)),
@@ -258,47 +258,47 @@
     }
 
     fn propose(&mut self, proposal: &Proposal) -> GrantEvent {
-        if self.log == Log::Away {
+        if self.log == Log::Down {
             return GrantEvent::Lost(proposal.at);
         }
         for (key, row) in &proposal.records {
-            self.rows.push((Offset(self.end), key.clone(), *row));
-            self.end += 1;
+            self.rows.push((Offset(self.log_end), key.clone(), *row));
+            self.log_end += 1;
         }
         GrantEvent::Landed(proposal.at)
     }
 
     fn read(&self) -> GrantEvent {
         match self.log {
-            Log::Away => GrantEvent::Unread,
+            Log::Down => GrantEvent::Unread,
             Log::Up => GrantEvent::Read {
                 rows: self.rows.clone(),
-                end: Offset(self.end),
+                end: Offset(self.log_end),
             },
         }
     }
 
     /// Lets so many milliseconds pass.
-    pub(crate) fn pass(&mut self, ms: u64) {
+    pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(20) {
             self.now += Duration::from_millis(20);
             if self.log == Log::Up {
-                self.tell(Event::TableConfirmed(self.now));
+                self.handle(Event::TableConfirmed(self.now));
             }
-            self.tell(Event::Tick);
+            self.handle(Event::Tick);
         }
     }
 
     /// Sends a request for a route, whose prompt and answer have at most so many tokens.
-    pub(crate) fn ask(&mut self, route: &str, input: u64, output: u64) -> RequestId {
-        self.ask_as("key", route, input, output)
+    pub(crate) fn send(&mut self, route: &str, input: u64, output: u64) -> RequestId {
+        self.send_as("key", route, input, output)
     }
 
     /// The same for the payer whose key it is.
-    pub(crate) fn ask_as(&mut self, key: &str, route: &str, input: u64, output: u64) -> RequestId {
-        let id = RequestId(self.next);
-        self.next += 1;
-        self.tell(Event::Arrived(Box::new(Arrival {
+    pub(crate) fn send_as(&mut self, key: &str, route: &str, input: u64, output: u64) -> RequestId {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        self.handle(Event::Arrived(Box::new(Arrival {
             id,
             bearer: Secret(key.to_owned()),
             key: None,
@@ -319,9 +319,9 @@
     }
 
     /// Has so many other routers say that they live; each of their clocks is right.
-    pub(crate) fn hear_routers(&mut self, count: usize) {
+    pub(crate) fn receive_heartbeats(&mut self, count: usize) {
         for number in 0..count {
-            self.tell(Event::Heard(Heartbeat {
+            self.handle(Event::Heard(Heartbeat {
                 vm: name(&format!("router-{}", number + 1)),
                 router: Incarnation(100 + number as u64),
                 serving: true,
@@ -329,33 +329,33 @@
                 config: Offset(0),
                 table: TableVersion(0),
                 drained: DrainedDomains::default(),
-                clock: self.wall(),
+                clock: self.wall_clock(),
                 purses: Vec::new(),
             }));
         }
     }
 
     /// Has the list show so many other routers.
-    pub(crate) fn list_routers(&mut self, count: usize) {
+    pub(crate) fn list_peers(&mut self, count: usize) {
         let routers = (0..count).map(|n| {
             let peer = format!("127.0.0.1:{}", 20_000 + n);
             let role = [("role", "router"), ("peer", peer.as_str())];
             entry(&format!("peer-{n}"), 8001, &role)
         });
-        self.tell(Event::VmList(VmList {
+        self.handle(Event::VmList(VmList {
             as_of: 2,
             vms: routers.collect(),
         }));
     }
 
     /// Has another router say that so much of the team's budget lies idle there.
-    pub(crate) fn hear_peer(&mut self, free: u64) {
-        let beat = self.peer_beat(free);
-        self.tell(Event::Heard(beat));
+    pub(crate) fn receive_peer_heartbeat(&mut self, free: u64) {
+        let beat = self.peer_heartbeat(free);
+        self.handle(Event::Heard(beat));
     }
 
     /// Returns what another router says of itself: so much of the team's budget lies idle there.
-    pub(crate) fn peer_beat(&self, free: u64) -> Heartbeat {
+    pub(crate) fn peer_heartbeat(&self, free: u64) -> Heartbeat {
         Heartbeat {
             vm: name("router-1"),
             router: Incarnation(99),
@@ -364,7 +364,7 @@
             config: Offset(0),
             table: TableVersion(0),
             drained: DrainedDomains::default(),
-            clock: self.wall(),
+            clock: self.wall_clock(),
             purses: vec![PurseWord {
                 team: name("loans"),
                 free: Tokens(free),
--- a/src/router/tests/starved.rs
+++ b/src/router/tests/starved.rs
@@ -11,10 +11,10 @@
 use crate::router::GrantEvent;
 use crate::router::Heartbeat;
 use crate::router::event::PurseWord;
+use crate::router::tests::site::START_TIME;
 use crate::router::tests::site::Site;
-use crate::router::tests::site::WALL;
 use crate::router::tests::site::payer;
-use crate::router::tests::site::table_of;
+use crate::router::tests::site::table_with_payers;
 use crate::router::tests::site::whole;
 use crate::tokens::Tokens;
 
@@ -37,12 +37,12 @@
         payer("loans", "key", PREPAID),
         payer("maps", "other", PREPAID),
     ];
-    site.tell(Event::Table(table_of(2, payers)));
+    site.handle(Event::Table(table_with_payers(2, payers)));
     for _ in 0..20 {
-        let ids = ["key", "other"].map(|key| site.ask_as(key, "stream", 993, 7));
-        site.pass(100);
+        let ids = ["key", "other"].map(|key| site.send_as(key, "stream", 993, 7));
+        site.advance(100);
         for id in ids {
-            site.tell(Event::Ended(id, whole(7)));
+            site.handle(Event::Ended(id, whole(7)));
         }
     }
     dry.iter().for_each(|team| take_rest(&mut site, team));
@@ -61,11 +61,11 @@
         granted: Tokens(PREPAID) - own,
         ..GrantRow::default()
     };
-    site.rows.push((Offset(site.end), key, row));
-    site.end += 1;
+    site.rows.push((Offset(site.log_end), key, row));
+    site.log_end += 1;
     let rows = site.rows.clone();
-    let end = Offset(site.end);
-    site.tell(Event::Grants(GrantEvent::Read { rows, end }));
+    let end = Offset(site.log_end);
+    site.handle(Event::Grants(GrantEvent::Read { rows, end }));
 }
 
 /// Returns how often this router's grant of a team's budget was written.
@@ -92,15 +92,15 @@
 fn a_dry_team_leaves_the_others_their_reviews() {
     let mut site = starved(&["loans"]);
     for _ in 0..40 {
-        site.hear_peer(1000);
-        let id = site.ask_as("other", "stream", 993, 7);
-        site.ask("stream", 500, 7);
-        site.pass(20);
-        site.tell(Event::Ended(id, whole(7)));
-        site.pass(80);
+        site.receive_peer_heartbeat(1000);
+        let id = site.send_as("other", "stream", 993, 7);
+        site.send("stream", 500, 7);
+        site.advance(20);
+        site.handle(Event::Ended(id, whole(7)));
+        site.advance(80);
     }
     let promise = newest(&site, "maps").pace.expect("a promise");
-    let age = site.now - site.started - (promise.made.wall - WALL);
+    let age = site.now - site.started - (promise.made.wall - START_TIME);
     assert!(age <= AGE, "{age:?} old");
 }
 
@@ -113,9 +113,9 @@
     let mut site = starved(&["loans", "maps"]);
     let before = written(&site, "maps");
     for _ in 0..SECONDS * 10 {
-        site.hear_peer(1000);
-        site.ask("stream", 900_000, 7);
-        site.pass(100);
+        site.receive_peer_heartbeat(1000);
+        site.send("stream", 900_000, 7);
+        site.advance(100);
         take_rest(&mut site, "maps");
     }
     let most = (SECONDS * 1000 / 300 + 1) as usize;
@@ -134,12 +134,12 @@
             free: Tokens::ZERO,
             demand: 100_000,
         }],
-        ..site.peer_beat(0)
+        ..site.peer_heartbeat(0)
     };
-    site.tell(Event::Heard(beat));
-    site.pass(40);
-    site.ask("stream", 900_000, 7);
-    site.pass(40);
+    site.handle(Event::Heard(beat));
+    site.advance(40);
+    site.send("stream", 900_000, 7);
+    site.advance(40);
     let left = newest(&site, "maps").granted;
     assert!(left < before, "{left} of {before}");
 }
