--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -22,7 +22,7 @@
 use crate::router::tests::site::whole;
 use crate::tokens::Tokens;
 
-fn broken(begun: bool) -> RunEnd {
+fn broken_run(begun: bool) -> RunEnd {
     RunEnd::Broken {
         usage: None,
         begun,
@@ -31,29 +31,29 @@
 }
 
 /// Returns what the router says of its team's budget.
-fn budget(site: &Site, field: &str) -> u64 {
+fn budget_field(site: &Site, field: &str) -> u64 {
     let dump = site.core.funds.dump(site.now);
     dump["teams"][0][field].as_u64().expect("a number")
 }
 
 #[test]
-fn what_was_used_is_spent_and_the_rest_comes_back() {
+fn used_tokens_are_spent_and_the_remainder_is_released() {
     let mut site = Site::start(10_000);
     let id = site.send("stream", 100, 50);
     assert_eq!(site.runs(id).len(), 1);
-    assert_eq!(budget(&site, "reserved_here"), 150);
+    assert_eq!(budget_field(&site, "reserved_here"), 150);
     site.handle(Event::Ended(id, whole(21)));
-    assert_eq!(budget(&site, "reserved_here"), 0);
-    assert_eq!(budget(&site, "spent_here"), 121);
+    assert_eq!(budget_field(&site, "reserved_here"), 0);
+    assert_eq!(budget_field(&site, "spent_here"), 121);
 }
 
 /// Returns what a request of a hundred tokens and at most fifty uses whose run ends so.
-fn used(route: &str, end: RunEnd) -> u64 {
+fn tokens_used(route: &str, end: RunEnd) -> u64 {
     let mut site = Site::start(10_000);
     let id = site.send(route, 100, 50);
     site.handle(Event::Ended(id, end));
-    assert_eq!(budget(&site, "reserved_here"), 0);
-    budget(&site, "spent_here")
+    assert_eq!(budget_field(&site, "reserved_here"), 0);
+    budget_field(&site, "spent_here")
 }
 
 fn answered(status: u16) -> RunEnd {
@@ -63,21 +63,21 @@
 /// An endpoint dies, or a caller leaves, before there is anything of an answer. The team was given nothing; charged for the
 /// prompts, it would be refused with a budget that it has not used.
 #[test]
-fn a_run_of_which_nothing_came_uses_nothing() {
-    assert_eq!(used("once", broken(false)), 0);
-    assert_eq!(used("once", RunEnd::CallerGone { usage: None }), 0);
-    assert_eq!(used("once", answered(500)), 0);
+fn a_run_without_output_is_not_charged() {
+    assert_eq!(tokens_used("once", broken_run(false)), 0);
+    assert_eq!(tokens_used("once", RunEnd::CallerGone { usage: None }), 0);
+    assert_eq!(tokens_used("once", answered(500)), 0);
 }
 
 /// A caller leaves in the middle of a stream. What it was given is used, and so is the prompt.
 #[test]
-fn a_stream_that_its_caller_left_uses_what_came() {
+fn an_abandoned_stream_is_charged_for_prompt_and_output() {
     let usage = Usage {
         prompt: Tokens::ZERO,
         answer: Tokens(14),
     };
     assert_eq!(
-        used("stream", RunEnd::CallerGone { usage: Some(usage) }),
+        tokens_used("stream", RunEnd::CallerGone { usage: Some(usage) }),
         114
     );
 }
@@ -85,14 +85,14 @@
 /// A completion that does not come as a stream does not tell how long it is. Counted as nothing, a team would be given more
 /// than it prepaid.
 #[test]
-fn an_answer_of_unknown_length_uses_the_most() {
-    assert_eq!(used("again", answered(200)), 150);
+fn an_answer_of_unknown_length_is_charged_its_maximum() {
+    assert_eq!(tokens_used("again", answered(200)), 150);
 }
 
 /// A team has used up its budget. Its caller is told so at once, and is served again after a top-up; it never gets more
 /// than was prepaid.
 #[test]
-fn a_spent_budget_is_said_at_once() {
+fn a_spent_budget_is_reported_at_once() {
     let mut site = Site::start(1000);
     let id = site.send("stream", 900, 50);
     site.handle(Event::Ended(id, whole(50)));
@@ -107,13 +107,13 @@
     let id = site.send("stream", 100, 50);
     site.advance(40);
     assert_eq!(site.runs(id).len(), 1);
-    assert!(budget(&site, "granted_here") <= 2000);
+    assert!(budget_field(&site, "granted_here") <= 2000);
 }
 
 /// All routers are cut off from the log, and a team's callers keep to one of them. Without a loan they would be refused
 /// though another router holds plenty of the team's budget.
 #[test]
-fn budget_is_borrowed_in_a_cut() {
+fn budget_is_borrowed_in_a_log_outage() {
     let mut site = Site::start(1_000_000);
     site.log = Log::Down;
     site.receive_peer_heartbeat(500_000);
@@ -134,7 +134,7 @@
 /// The same, and no other router has anything. The caller is not held: it is told that the request did not run, and when
 /// to come back.
 #[test]
-fn a_cut_without_lenders_is_said_at_once() {
+fn a_log_outage_without_lenders_is_reported_at_once() {
     let mut site = Site::start(1_000_000);
     site.log = Log::Down;
     site.advance(3000);
@@ -150,23 +150,23 @@
 
 /// Asks as many callers do: urgent requests of a hundred tokens and others of a thousand, ten of each in a second, which
 /// all end as soon as they run.
-fn ask_for(site: &mut Site, seconds: u64) -> Vec<(RequestId, RequestId)> {
-    let mut asked = Vec::new();
+fn send_mixed_load(site: &mut Site, seconds: u64) -> Vec<(RequestId, RequestId)> {
+    let mut sent = Vec::new();
     let mut open = Vec::new();
     for _ in 0..seconds * 10 {
         let urgent = site.send("urgent", 93, 7);
         let other = site.send("stream", 993, 7);
         open.extend([urgent, other]);
-        end_running(site, &mut open);
+        finish_runs(site, &mut open);
         site.advance(100);
-        end_running(site, &mut open);
-        asked.push((urgent, other));
+        finish_runs(site, &mut open);
+        sent.push((urgent, other));
     }
-    asked
+    sent
 }
 
 /// Ends the requests that run, and forgets those that were refused.
-fn end_running(site: &mut Site, open: &mut Vec<RequestId>) {
+fn finish_runs(site: &mut Site, open: &mut Vec<RequestId>) {
     for id in std::mem::take(open) {
         match (site.runs(id).is_empty(), site.refusal(id)) {
             (false, _) => site.handle(Event::Ended(id, whole(7))),
@@ -180,19 +180,15 @@
 /// caller is told so within half a second, in which its part may yet open, and the urgent one is served; paid in order, both
 /// would be refused a second later.
 #[test]
-fn what_is_left_in_a_cut_is_kept_for_the_urgent() {
+fn budget_is_kept_for_urgent_requests_in_a_log_outage() {
     let mut site = Site::start(110_000);
-    ask_for(&mut site, 4);
+    send_mixed_load(&mut site, 4);
     site.log = Log::Down;
-    ask_for(&mut site, 4);
-    let asked = ask_for(&mut site, 1);
+    send_mixed_load(&mut site, 4);
+    let sent = send_mixed_load(&mut site, 1);
     site.advance(500);
-    assert!(
-        asked
-            .iter()
-            .all(|(urgent, _)| site.runs(*urgent).len() == 1)
-    );
-    let others = asked.iter().map(|(_, other)| other);
+    assert!(sent.iter().all(|(urgent, _)| site.runs(*urgent).len() == 1));
+    let others = sent.iter().map(|(_, other)| other);
     let refused: Vec<_> = others.filter_map(|other| site.refusal(*other)).collect();
     assert!(refused.len() >= 5, "{} of ten were refused", refused.len());
     for problem in refused {
@@ -204,11 +200,11 @@
 /// All routers lost their power, and most of a team's budget is what they might have spent. For hours no large request could
 /// be paid any more, and the small urgent ones would run dry with them.
 #[test]
-fn what_dead_routers_left_is_kept_for_the_urgent() {
+fn budget_held_by_dead_routers_leaves_the_rest_to_urgent_requests() {
     let mut site = Site::start(100_000);
-    lose(&mut site, 90_000);
-    ask_for(&mut site, 2);
-    let (urgent, other) = ask_for(&mut site, 1)[9];
+    grant_to_dead_router(&mut site, 90_000);
+    send_mixed_load(&mut site, 2);
+    let (urgent, other) = send_mixed_load(&mut site, 1)[9];
     assert_eq!(site.runs(urgent).len(), 1);
     let problem = site.refusal(other).expect("it is refused");
     assert_eq!(
@@ -220,14 +216,14 @@
 /// A team uses its budget up, and no other router has any of it. What is left goes to whoever asks, to the last request
 /// that it covers: kept back, it would serve nobody.
 #[test]
-fn a_budget_is_used_to_its_end() {
+fn a_budget_is_used_up_completely() {
     let mut site = Site::start(30_000);
-    ask_for(&mut site, 4);
-    assert!(budget(&site, "spent_here") > 29_000);
+    send_mixed_load(&mut site, 4);
+    assert!(budget_field(&site, "spent_here") > 29_000);
 }
 
 /// Has a router that died be granted so much of the budget.
-fn lose(site: &mut Site, granted: u64) {
+fn grant_to_dead_router(site: &mut Site, granted: u64) {
     let key = GrantKey {
         vm: "router-9".parse().expect("a name"),
         router: Incarnation(9),
@@ -257,14 +253,16 @@
     site.send("stream", 300_000, 50);
     site.advance(1500);
     site.receive_peer_heartbeat(500_000);
-    let first = borrowed(&site).pop().expect("it asks the other router");
+    let first = loan_requests(&site)
+        .pop()
+        .expect("it asks the other router");
     site.handle(Event::Lent(first.clone(), None));
     site.effects.clear();
     site.advance(1500);
-    assert!(borrowed(&site).is_empty(), "it was not heard of yet");
+    assert!(loan_requests(&site).is_empty(), "it was not heard of yet");
     site.receive_peer_heartbeat(0);
     site.advance(1500);
-    let again = borrowed(&site);
+    let again = loan_requests(&site);
     let again = again.iter().find(|ask| ask.number == first.number);
     let again = again.expect("it asks again");
     assert_eq!(
@@ -274,16 +272,16 @@
     );
     site.handle(Event::Lent(first.clone(), Some(Tokens(300_000))));
     site.handle(Event::Lent(first, Some(Tokens(300_000))));
-    assert_eq!(budget(&site, "borrowed"), 300_000, "it counts once");
+    assert_eq!(budget_field(&site, "borrowed"), 300_000, "it counts once");
 }
 
 /// Returns the questions for loans.
-fn borrowed(site: &Site) -> Vec<LoanAsk> {
-    let asked = site.effects.iter().filter_map(|effect| match effect {
+fn loan_requests(site: &Site) -> Vec<LoanAsk> {
+    let requests = site.effects.iter().filter_map(|effect| match effect {
         Effect::Borrow(ask, _) => Some(ask.clone()),
         _ => None,
     });
-    asked.collect()
+    requests.collect()
 }
 
 /// The answer to a question for a loan is lost, and the question is sent again. Both routers count the loan once, or the
@@ -326,10 +324,10 @@
 /// A service's connection breaks after a disbursement was sent. Nobody knows whether it took effect, so that the caller
 /// must not be told that it did not run, and it goes to no other endpoint.
 #[test]
-fn what_may_have_run_is_not_said_not_to_have() {
+fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut site = Site::start(1000);
     let id = site.send("once", 0, 0);
-    site.handle(Event::Ended(id, broken(false)));
+    site.handle(Event::Ended(id, broken_run(false)));
     let problem = site.refusal(id).expect("it fails");
     assert_eq!(problem.kind.status(), 502);
     assert_eq!(site.runs(id).len(), 1);
@@ -337,7 +335,7 @@
 
 /// An endpoint has no room and says that it did not run the request. Another one gets it, though it may run only once.
 #[test]
-fn what_did_not_run_goes_elsewhere() {
+fn a_request_that_did_not_run_is_retried_on_another_endpoint() {
     let mut site = Site::start(1000);
     let id = site.send("once", 0, 0);
     site.handle(Event::Ended(id, RunEnd::NotRun { retry: None }));
@@ -348,34 +346,38 @@
 
 /// An endpoint dies in the middle of a stream. Another one goes on with it, but no more endpoints than the route allows.
 #[test]
-fn a_stream_goes_on_elsewhere() {
+fn a_stream_resumes_on_another_endpoint() {
     let mut site = Site::start(10_000);
     let id = site.send("stream", 100, 50);
-    site.handle(Event::Ended(id, broken(true)));
+    site.handle(Event::Ended(id, broken_run(true)));
     assert_eq!(site.runs(id).len(), 2);
-    site.handle(Event::Ended(id, broken(true)));
+    site.handle(Event::Ended(id, broken_run(true)));
     assert_eq!(site.runs(id).len(), 2);
     let problem = site.refusal(id).expect("it is cut");
     assert_eq!(problem.kind, ProblemKind::EndpointFailed);
-    assert_eq!(budget(&site, "spent_here"), 100, "its prompt counts once");
+    assert_eq!(
+        budget_field(&site, "spent_here"),
+        100,
+        "its prompt counts once"
+    );
 }
 
 /// An endpoint takes a request and says nothing more. The caller has its answer from another one long before its time is
 /// over.
 #[test]
-fn a_silent_endpoint_is_left() {
+fn a_silent_endpoint_is_abandoned() {
     let mut site = Site::start(1000);
     let id = site.send("again", 0, 0);
     site.advance(600);
     let left = |effect: &Effect| matches!(effect, Effect::Leave(of) if *of == id);
     assert_eq!(site.effects.iter().filter(|e| left(e)).count(), 1);
-    site.handle(Event::Ended(id, broken(false)));
+    site.handle(Event::Ended(id, broken_run(false)));
     assert_eq!(site.runs(id).len(), 2);
 }
 
 /// A run takes longer than its route allows. The caller has its final answer at that time, once.
 #[test]
-fn the_routes_time_is_kept() {
+fn a_route_timeout_is_enforced() {
     let mut site = Site::start(1000);
     let id = site.send("once", 0, 0);
     site.advance(2040);
@@ -393,7 +395,7 @@
 /// A router is told to stop while callers still keep its address. It serves them for as long as they may, and ends when
 /// nothing is in progress and what it did not spend went back.
 #[test]
-fn a_stop_serves_those_who_keep_the_address() {
+fn a_draining_router_serves_callers_that_still_use_it() {
     let mut site = Site::start(10_000);
     site.handle(Event::Drain);
     site.advance(4000);
@@ -410,13 +412,16 @@
     site.handle(Event::Ended(id, whole(10)));
     site.advance(100);
     assert!(exits(&site));
-    assert_eq!(budget(&site, "granted_here"), budget(&site, "spent_here"));
+    assert_eq!(
+        budget_field(&site, "granted_here"),
+        budget_field(&site, "spent_here")
+    );
 }
 
 /// A router stops while it is cut off from the log. What it did not spend goes to another router, which would else refuse
 /// the team's callers.
 #[test]
-fn a_stop_in_a_cut_hands_budget_over() {
+fn a_router_draining_in_a_log_outage_transfers_its_budget() {
     let mut site = Site::start(1_000_000);
     let id = site.send("stream", 1000, 50);
     site.handle(Event::Ended(id, whole(50)));
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -22,13 +22,13 @@
 use crate::vms::VmEntry;
 
 /// How many other routers there are: more than a fleet in which all keep all budgets.
-const OTHERS: usize = 40;
+const PEER_COUNT: usize = 40;
 
 /// Lists two endpoints and many routers.
 fn fleet() -> Vec<VmEntry> {
     let engines = ["engine-0", "engine-1"];
     let engines = engines.map(|name| entry(name, 9100, &[("pool", "pool")]));
-    let routers = (0..OTHERS).map(|n| {
+    let routers = (0..PEER_COUNT).map(|n| {
         let peer = format!("127.0.0.1:{}", 20_000 + n);
         let role = [("role", "router"), ("peer", peer.as_str())];
         entry(&format!("peer-{n}"), 8001, &role)
@@ -37,7 +37,7 @@
 }
 
 /// Brings up a router for which others keep the budget.
-fn guest() -> Site {
+fn borrower() -> Site {
     let mut site = Site::start_with_vms(1_000_000, fleet());
     site.effects.clear();
     site
@@ -45,11 +45,11 @@
 
 /// Brings up a router that keeps the budget for others: it is by far the largest, and alone in its failure domain.
 fn owner() -> Site {
-    owner_in("domain-9")
+    owner_in_domain("domain-9")
 }
 
 /// Brings up a router that is large enough to keep some teams' budgets.
-fn owner_in(domain: &str) -> Site {
+fn owner_in_domain(domain: &str) -> Site {
     let role = [
         ("role", "router"),
         ("peer", "127.0.0.1:8100"),
@@ -64,12 +64,12 @@
 }
 
 /// Returns the questions for loans, and whom they went to.
-fn asked(site: &Site) -> Vec<(LoanAsk, Peer)> {
-    let asked = site.effects.iter().filter_map(|effect| match effect {
+fn loan_requests(site: &Site) -> Vec<(LoanAsk, Peer)> {
+    let requests = site.effects.iter().filter_map(|effect| match effect {
         Effect::Borrow(ask, peer) => Some((ask.clone(), peer.clone())),
         _ => None,
     });
-    asked.collect()
+    requests.collect()
 }
 
 /// Returns how often the log was asked to change grants.
@@ -80,16 +80,16 @@
         .count()
 }
 
-fn is_run(site: &Site, id: RequestId) -> bool {
+fn has_run(site: &Site, id: RequestId) -> bool {
     !site.runs(id).is_empty()
 }
 
-fn ask_owner(site: &mut Site, number: u64, id: u64, amount: u64) {
-    ask_owner_for(site, 0, number, id, amount);
+fn request_loan(site: &mut Site, number: u64, id: u64, amount: u64) {
+    request_loan_with_priority(site, 0, number, id, amount);
 }
 
 /// The same for a request of a priority.
-fn ask_owner_for(site: &mut Site, priority: u8, number: u64, id: u64, amount: u64) {
+fn request_loan_with_priority(site: &mut Site, priority: u8, number: u64, id: u64, amount: u64) {
     let ask = LoanAsk {
         borrower: Incarnation(99),
         number,
@@ -102,7 +102,7 @@
 }
 
 /// Returns what a question for a loan was answered.
-fn lent(site: &Site, id: u64) -> Option<u64> {
+fn loan_answer(site: &Site, id: u64) -> Option<u64> {
     site.effects.iter().find_map(|effect| match effect {
         Effect::Answer(AdminId(of), _, body) if *of == id => body.as_u64(),
         _ => None,
@@ -112,46 +112,48 @@
 /// Two hundred routers are asked for forty teams' budgets. Were each to draw from the one partition what its next request
 /// needs, most of them would fail for the others' writes, and the first seconds of a day would pass in waiting.
 #[test]
-fn who_keeps_nothing_borrows_and_writes_nothing() {
-    let mut site = guest();
+fn a_router_that_is_no_owner_borrows_and_writes_nothing() {
+    let mut site = borrower();
     let id = site.send("stream", 100, 50);
-    let (ask, _) = asked(&site).pop().expect("an owner is asked at once");
+    let (ask, _) = loan_requests(&site)
+        .pop()
+        .expect("an owner is asked at once");
     assert_eq!(ask.amount, Tokens(150));
     site.handle(Event::Lent(ask, Some(Tokens(150))));
-    assert!(is_run(&site, id));
+    assert!(has_run(&site, id));
     assert_eq!(proposals(&site), 0);
 }
 
 /// The VM of an owner lost its power. The next one is asked, and as long as all three are silent the log: a caller must not
 /// be refused while the team has budget.
 #[test]
-fn silent_owners_are_passed_over() {
-    let mut site = guest();
+fn silent_owners_are_skipped() {
+    let mut site = borrower();
     let id = site.send("stream", 100, 50);
     let mut addresses = Vec::new();
     for _ in 0..3 {
-        let (ask, peer) = asked(&site).pop().expect("one is asked");
+        let (ask, peer) = loan_requests(&site).pop().expect("one is asked");
         addresses.push(peer.address);
         site.handle(Event::Lent(ask, None));
     }
     addresses.dedup();
     assert_eq!(addresses.len(), 3);
     site.advance(100);
-    assert!(is_run(&site, id));
+    assert!(has_run(&site, id));
     assert_eq!(proposals(&site), 1);
     // The next requests don't wait for the same silence.
     site.advance(4000);
     site.send("stream", 1000, 500_000);
-    assert_eq!(asked(&site).len(), 3);
+    assert_eq!(loan_requests(&site).len(), 3);
 }
 
 /// A request reserves the most that it may use, and uses less. What is left over at each of two hundred routers would be
 /// seconds of the team's demand that nobody else can use.
 #[test]
-fn what_is_left_over_goes_back_to_an_owner() {
-    let mut site = guest();
+fn unused_budget_is_transferred_to_an_owner() {
+    let mut site = borrower();
     let id = site.send("stream", 100, 900);
-    let (ask, _) = asked(&site).pop().expect("an owner is asked");
+    let (ask, _) = loan_requests(&site).pop().expect("an owner is asked");
     site.handle(Event::Lent(ask, Some(Tokens(1000))));
     let usage = Usage {
         prompt: Tokens::ZERO,
@@ -174,13 +176,13 @@
 /// An owner that holds too little draws it and answers then. The question comes a second time meanwhile, since its sender
 /// heard nothing: counted twice, the team would lose what was lent the second time.
 #[test]
-fn an_owner_draws_for_others_and_lends_once() {
+fn an_owner_draws_for_borrowers_and_lends_once() {
     let mut site = owner();
-    ask_owner(&mut site, 1, 1, 5000);
-    ask_owner(&mut site, 1, 2, 5000);
+    request_loan(&mut site, 1, 1, 5000);
+    request_loan(&mut site, 1, 2, 5000);
     site.advance(100);
-    assert_eq!(lent(&site, 1), Some(5000));
-    assert_eq!(lent(&site, 2), Some(5000));
+    assert_eq!(loan_answer(&site, 1), Some(5000));
+    assert_eq!(loan_answer(&site, 2), Some(5000));
     let dump = site.core.funds.dump(site.now);
     assert_eq!(dump["teams"][0]["lent"], 5000, "{dump}");
 }
@@ -190,13 +192,13 @@
 #[test]
 fn an_owner_without_the_log_lends_what_it_can() {
     let mut site = owner();
-    ask_owner(&mut site, 1, 1, 5000);
+    request_loan(&mut site, 1, 1, 5000);
     site.advance(3000);
     site.log = Log::Down;
     site.advance(2000);
-    ask_owner(&mut site, 2, 2, 900_000);
+    request_loan(&mut site, 2, 2, 900_000);
     site.advance(160);
-    let answer = lent(&site, 2);
+    let answer = loan_answer(&site, 2);
     let part = answer.is_some_and(|lent| 0 < lent && lent < 900_000);
     assert!(part, "{answer:?}");
 }
@@ -204,83 +206,83 @@
 /// Guards against a loan that its borrower never takes in: its question came twice, the second was refused while the first
 /// waited, and the first was lent with nobody left to take the answer.
 #[test]
-fn all_questions_under_one_number_get_one_answer() {
+fn all_loan_requests_with_one_number_get_one_answer() {
     let mut site = owner();
     for number in 1..=30 {
-        ask_owner(&mut site, number, number, 10_000);
+        request_loan(&mut site, number, number, 10_000);
         site.advance(100);
     }
     site.log = Log::Down;
-    ask_owner_for(&mut site, 1, 100, 100, 300_000);
-    ask_owner_for(&mut site, 1, 100, 101, 300_000);
+    request_loan_with_priority(&mut site, 1, 100, 100, 300_000);
+    request_loan_with_priority(&mut site, 1, 100, 101, 300_000);
     site.advance(200);
-    let answers = [100, 101].map(|id| lent(&site, id));
+    let answers = [100, 101].map(|id| loan_answer(&site, id));
     assert!(answers[0].is_some());
     assert_eq!(answers[0], answers[1]);
 }
 
 /// Guards against owners that ask each other, in circles, for what borrowers asked them for.
 #[test]
-fn an_owner_borrows_for_its_own_callers_alone() {
+fn an_owner_borrows_only_for_its_own_callers() {
     let mut site = owner();
-    ask_owner(&mut site, 1, 1, 5000);
+    request_loan(&mut site, 1, 1, 5000);
     site.advance(1000);
-    hear_owner(&mut site, "loans");
+    receive_owner_heartbeat(&mut site, "loans");
     site.log = Log::Down;
     site.advance(1000);
-    ask_owner(&mut site, 2, 2, 900_000);
+    request_loan(&mut site, 2, 2, 900_000);
     site.advance(140);
-    assert_eq!(asked(&site).len(), 0);
+    assert_eq!(loan_requests(&site).len(), 0);
     site.send("urgent", 800_000, 50);
     site.advance(100);
-    let (ask, _) = asked(&site).pop().expect("its own caller waits");
+    let (ask, _) = loan_requests(&site).pop().expect("its own caller waits");
     assert!(ask.amount <= Tokens(1_000_000), "{}", ask.amount);
 }
 
 /// Returns how much a router asks for with its second question, for a request of 1,000 tokens, where the first was answered
 /// after some milliseconds.
-fn second_question(took: u64) -> u64 {
-    let mut site = guest();
+fn second_loan_amount(round_trip_ms: u64) -> u64 {
+    let mut site = borrower();
     site.send("stream", 500, 500);
-    site.advance(took);
-    let (ask, _) = asked(&site).pop().expect("an owner is asked");
+    site.advance(round_trip_ms);
+    let (ask, _) = loan_requests(&site).pop().expect("an owner is asked");
     let amount = ask.amount;
     site.handle(Event::Lent(ask, Some(amount)));
     site.send("stream", 500, 500);
-    let (ask, _) = asked(&site).pop().expect("an owner is asked");
+    let (ask, _) = loan_requests(&site).pop().expect("an owner is asked");
     ask.amount.0
 }
 
 /// Guards against a VM where each request waits for a loan of its own, though answers take hundreds of milliseconds there.
 #[test]
-fn budget_is_borrowed_ahead_where_answers_take_long() {
-    assert_eq!(second_question(0), 1000);
-    assert!(second_question(300) > 1300);
+fn budget_is_borrowed_ahead_when_answers_are_slow() {
+    assert_eq!(second_loan_amount(0), 1000);
+    assert!(second_loan_amount(300) > 1300);
 }
 
 /// Guards against a busy VM all of whose requests wait for loans: while one is on its way, more is used up than it brings.
 #[test]
 fn budget_is_borrowed_before_it_runs_out() {
-    let mut site = guest();
+    let mut site = borrower();
     let mut asked_at = Vec::new();
     let mut answered = 0;
     let mut waited = 0;
     let mut open = Vec::new();
     for turn in 0..200 {
         let id = site.send("stream", 500, 500);
-        waited += usize::from(turn >= 100 && !is_run(&site, id));
+        waited += usize::from(turn >= 100 && !has_run(&site, id));
         open.push(id);
         for id in open
-            .extract_if(.., |id| is_run(&site, *id))
+            .extract_if(.., |id| has_run(&site, *id))
             .collect::<Vec<_>>()
         {
             site.handle(Event::Ended(id, whole(500)));
         }
         site.advance(20);
-        asked_at.resize(asked(&site).len(), turn);
+        asked_at.resize(loan_requests(&site).len(), turn);
         // Each question is answered after a fifth of a second.
         while asked_at.get(answered).is_some_and(|at| turn >= at + 10) {
-            let (ask, _) = asked(&site)[answered].clone();
+            let (ask, _) = loan_requests(&site)[answered].clone();
             answered += 1;
             let amount = ask.amount;
             site.handle(Event::Lent(ask, Some(amount)));
@@ -293,41 +295,43 @@
 /// more urgent ones.
 #[test]
 fn nobody_is_asked_for_nothing() {
-    let mut site = owner_in("domain-0");
-    let [own, others] = share_with_others(&mut site);
+    let mut site = owner_in_domain("domain-0");
+    let [own, foreign] = own_and_foreign_team(&mut site);
     site.send_as(&own, "stream", 100, 50);
     site.advance(1000);
     site.log = Log::Down;
     site.send_as(&own, "stream", 900_000, 50);
     site.advance(1000);
     for _ in 0..10 {
-        site.send_as(&others, "urgent", 1000, 500);
-        lend_what_is_asked(&mut site);
-        hear_owner(&mut site, &others);
+        site.send_as(&foreign, "urgent", 1000, 500);
+        answer_loan_requests(&mut site);
+        receive_owner_heartbeat(&mut site, &foreign);
         site.advance(100);
     }
-    let id = site.send_as(&others, "stream", 100, 50);
-    lend_what_is_asked(&mut site);
+    let id = site.send_as(&foreign, "stream", 100, 50);
+    answer_loan_requests(&mut site);
     site.advance(100);
-    let asked = asked(&site);
-    let nothing = asked.iter().filter(|(ask, _)| ask.amount == Tokens::ZERO);
-    assert_eq!(nothing.count(), 0);
-    assert!(is_run(&site, id));
+    let requests = loan_requests(&site);
+    let empty = requests
+        .iter()
+        .filter(|(ask, _)| ask.amount == Tokens::ZERO);
+    assert_eq!(empty.count(), 0);
+    assert!(has_run(&site, id));
 }
 
 /// Has a router serve many teams, and returns the key of one whose budget it keeps and of one whose budget others keep.
-fn share_with_others(site: &mut Site) -> [String; 2] {
+fn own_and_foreign_team(site: &mut Site) -> [String; 2] {
     let teams: Vec<_> = (0..40).map(|n| format!("team-{n}")).collect();
     let payers = teams.iter().map(|team| payer(team, team, 1_000_000));
     site.handle(Event::Table(table_with_payers(2, payers.collect())));
     let ownership = &site.core.funds.ownership;
     let own = |name: &String| ownership.owns_for_all(&name.parse().expect("a name"));
-    let (mine, others): (Vec<_>, Vec<_>) = teams.into_iter().partition(own);
-    [mine, others].map(|teams| teams.first().expect("a team").clone())
+    let (own_teams, foreign): (Vec<_>, Vec<_>) = teams.into_iter().partition(own);
+    [own_teams, foreign].map(|teams| teams.first().expect("a team").clone())
 }
 
 /// Has another router say that plenty of a team's budget lies idle there.
-fn hear_owner(site: &mut Site, team: &str) {
+fn receive_owner_heartbeat(site: &mut Site, team: &str) {
     let word = PurseWord {
         team: team.parse().expect("a name"),
         free: Tokens(500_000),
@@ -342,10 +346,10 @@
 }
 
 /// Answers the newest question for a loan in full, and those that follow from that, up to a bound.
-fn lend_what_is_asked(site: &mut Site) {
-    let newest = asked(site).len().saturating_sub(1);
+fn answer_loan_requests(site: &mut Site) {
+    let newest = loan_requests(site).len().saturating_sub(1);
     for at in newest..newest + 50 {
-        let Some((ask, _)) = asked(site).get(at).cloned() else {
+        let Some((ask, _)) = loan_requests(site).get(at).cloned() else {
             return;
         };
         let amount = ask.amount;
