--- a/src/router/tests/drained_domains.rs
+++ b/src/router/tests/drained_domains.rs
@@ -56,26 +56,26 @@
 }
 
 /// Sends requests, and returns in which failure domains they run.
-fn spread(site: &mut Site, count: usize) -> Vec<Option<usize>> {
+fn send_requests(site: &mut Site, count: usize) -> Vec<Option<usize>> {
     let ids: Vec<_> = (0..count).map(|_| site.send("stream", 10, 5)).collect();
     ids.into_iter().map(|id| ran_in(site, id)).collect()
 }
 
 /// Guards against requests that go to a failure domain which the operator has drained.
 #[test]
-fn nothing_new_goes_to_a_drained_domain() {
+fn no_new_request_goes_to_a_drained_domain() {
     let mut site = site();
     drain(&mut site, 5, &[0]);
-    assert!(spread(&mut site, 12).iter().all(|at| *at == Some(1)));
+    assert!(send_requests(&mut site, 12).iter().all(|at| *at == Some(1)));
     // Some of its endpoints are listed anew.
     let list = site.core.members.roster.list().clone();
     site.handle(Event::VmList(list));
-    assert!(spread(&mut site, 2).iter().all(|at| *at == Some(1)));
+    assert!(send_requests(&mut site, 2).iter().all(|at| *at == Some(1)));
 }
 
 /// Guards against a retry that goes where nothing new may go.
 #[test]
-fn a_retry_keeps_out_of_a_drained_domain() {
+fn a_retry_avoids_a_drained_domain() {
     let mut site = site();
     drain(&mut site, 5, &[1]);
     let id = site.send("stream", 10, 5);
@@ -87,7 +87,7 @@
 
 /// Guards against a request that waits for the end of a drain until its deadline.
 #[test]
-fn a_pool_that_is_drained_whole_refuses_at_once() {
+fn a_fully_drained_pool_refuses_at_once() {
     let mut site = site();
     drain(&mut site, 5, &[1]);
     let mut ids: Vec<_> = (0..30).map(|_| site.send("stream", 10, 5)).collect();
@@ -104,14 +104,14 @@
 
 /// Guards against a router that is parted from the store and goes on with a drained failure domain.
 #[test]
-fn peers_tell_of_drained_domains() {
+fn drained_domains_are_learned_from_peers() {
     let mut site = site();
     let beat = Heartbeat {
         drained: drained(5, &[0]),
         ..site.peer_heartbeat(0)
     };
     site.handle(Event::Heard(beat));
-    assert!(spread(&mut site, 4).iter().all(|at| *at == Some(1)));
+    assert!(send_requests(&mut site, 4).iter().all(|at| *at == Some(1)));
     assert_eq!(site.core.heartbeat(site.now).drained, drained(5, &[0]));
     // An older word, from a peer that does not know yet, changes nothing.
     let beat = Heartbeat {
@@ -119,17 +119,17 @@
         ..site.peer_heartbeat(0)
     };
     site.handle(Event::Heard(beat));
-    assert!(spread(&mut site, 4).iter().all(|at| *at == Some(1)));
+    assert!(send_requests(&mut site, 4).iter().all(|at| *at == Some(1)));
 }
 
 /// Guards against endpoints that come back idle and cold, and get all at once what they bear when warm.
 #[test]
-fn a_domain_that_is_taken_back_is_cold() {
+fn a_restored_domain_is_cold() {
     let mut site = site();
     drain(&mut site, 5, &[0, 1]);
     drain(&mut site, 6, &[1]);
     let served = |site: &mut Site| {
-        let ran = spread(site, 4 * COLD_RATE as usize);
+        let ran = send_requests(site, 4 * COLD_RATE as usize);
         ran.iter().flatten().count()
     };
     // Two routers share what each of its endpoints bears.
@@ -140,12 +140,12 @@
 
 /// Guards against endpoints that are taken for cold though they say that they are warm, and the other way round.
 #[test]
-fn an_endpoint_is_as_cold_as_it_says() {
+fn an_endpoint_is_as_cold_as_it_reports() {
     let mut site = site();
     drain(&mut site, 5, &[1]);
     let vm = |n: usize| format!("endpoint-{n}").parse().expect("a name");
-    let words = vec![(vm(0), WARMUP), (vm(1), WARMUP)];
-    site.handle(Event::Cold(words));
+    let reports = vec![(vm(0), WARMUP), (vm(1), WARMUP)];
+    site.handle(Event::Cold(reports));
     let ids: Vec<_> = (0..8).map(|_| site.send("stream", 10, 5)).collect();
     let ran = ids.iter().filter(|id| !site.runs(**id).is_empty()).count();
     assert_eq!(ran, ENDPOINTS * COLD_RATE as usize / 2);
@@ -154,14 +154,14 @@
     assert_eq!(ran, ids.len());
 }
 
-/// Guards against words from the store and from peers that come in another order than they were written, and leave an older
+/// Guards against reports from the store and from peers that come in another order than they were written, and leave an older
 /// set in force.
 #[test]
-fn the_newest_word_stands_in_whatever_order_they_come() {
-    fn property(words: Vec<(u8, bool)>) -> bool {
+fn the_newest_update_wins_in_any_order() {
+    fn property(reports: Vec<(u8, bool)>) -> bool {
         let mut site = site();
         let mut newest = (0, false);
-        for (as_of, drains) in words {
+        for (as_of, drains) in reports {
             // What was read up to one offset is the same for all.
             let drains = if as_of == newest.0 { newest.1 } else { drains };
             let domains: &[usize] = if drains { &[0] } else { &[] };
--- a/src/router/tests/scattered.rs
+++ b/src/router/tests/fragmented.rs
@@ -6,7 +6,7 @@
 /// Two routers hold 87 tokens each, nothing is left to draw, and each has a caller whose request can cost 110. Were each to
 /// keep its part for its own caller, both would be refused though the team has 174 left.
 #[test]
-fn one_of_two_that_each_hold_a_part_is_served() {
+fn one_of_two_routers_with_a_part_each_is_served() {
     let mut bench = Bench::unfunded(vec![tuning(0), tuning(1)]);
     bench.top_up("small", 220);
     for at in 0..2 {
--- a/src/router/tests/purse.rs
+++ b/src/router/tests/ledger_budget.rs
@@ -8,29 +8,29 @@
 quickcheck! {
     /// Promises and credits come and go in any order; what is left when all have gone is what the ledger says, and in
     /// between it is never more than the ledger's word and the credits together.
-    fn what_goes_in_comes_out(free: u32, steps: Vec<(bool, u16)>) -> bool {
+    fn ended_debits_and_credits_cancel_out(free: u32, steps: Vec<(bool, u16)>) -> bool {
         let free = Tokens(u64::from(free));
-        let mut purse = LedgerBudget::default();
-        let mut promised = Tokens::ZERO;
-        let mut credit = Tokens::ZERO;
+        let mut budget = LedgerBudget::default();
+        let mut debited = Tokens::ZERO;
+        let mut credited = Tokens::ZERO;
         for (is_credit, amount) in &steps {
             let amount = Tokens(u64::from(*amount));
             match is_credit {
-                true => { purse.credit(amount); credit += amount; }
-                false => { purse.debit(amount); promised += amount; }
+                true => { budget.credit(amount); credited += amount; }
+                false => { budget.debit(amount); debited += amount; }
             }
-            let right = free.saturating_add(credit).saturating_sub(promised);
-            if purse.available(free) != right {
+            let expected = free.saturating_add(credited).saturating_sub(debited);
+            if budget.available(free) != expected {
                 return false;
             }
         }
         for (is_credit, amount) in steps.iter().rev() {
             let amount = Tokens(u64::from(*amount));
             match is_credit {
-                true => purse.end_credit(amount),
-                false => purse.end_debit(amount),
+                true => budget.end_credit(amount),
+                false => budget.end_debit(amount),
             }
         }
-        purse.available(free) == free && purse.is_settled()
+        budget.available(free) == free && budget.is_settled()
     }
 }
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -15,7 +15,7 @@
 use crate::settings::EndMarker;
 
 /// Brings up two cores that hold budget, of which the first has noticed that the log is down.
-fn in_outage(change: impl Fn(Tuning) -> Tuning) -> Bench {
+fn start_in_outage(change: impl Fn(Tuning) -> Tuning) -> Bench {
     let mut bench = Bench::tuned(vec![change(tuning(0)), change(tuning(1))]);
     for at in 0..2 {
         let ask = bench.chat(&format!("before-{at}"), 1);
@@ -36,7 +36,7 @@
 /// bill, so that neither is lost with this router, and the caller gets its whole answer before the log is back.
 #[test]
 fn a_completion_is_served_whole_while_a_peer_keeps_its_records() {
-    let mut bench = in_outage(|tuning| tuning);
+    let mut bench = start_in_outage(|tuning| tuning);
     let ask = bench.chat("o1", 1);
     let id = bench.dispatched(0, &ask);
     bench.whole(0, id);
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn with_hold_the_end_waits_for_the_log() {
-    let mut bench = in_outage(|tuning| Tuning {
+fn with_hold_the_end_marker_waits_for_the_log() {
+    let mut bench = start_in_outage(|tuning| Tuning {
         marker: EndMarker::Hold,
         ..tuning
     });
@@ -69,7 +69,7 @@
 /// it runs later.
 #[test]
 fn a_call_that_may_not_be_repeated_is_refused() {
-    let mut bench = in_outage(|tuning| tuning);
+    let mut bench = start_in_outage(|tuning| tuning);
     let ask = bench.call("o3", 1);
     let id = bench.arrive(0, &ask);
     bench.pass(100);
@@ -95,9 +95,9 @@
 /// The router hears no other in the outage. Nobody would keep its records, so the end of no answer could go out: it
 /// refuses rather than spend tokens on it.
 #[test]
-fn without_a_keeper_a_completion_is_refused() {
+fn a_completion_is_refused_without_a_peer() {
     for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
-        let mut bench = in_outage(|tuning| Tuning { lean, ..tuning });
+        let mut bench = start_in_outage(|tuning| Tuning { lean, ..tuning });
         bench.linked = false;
         bench.pass(4000);
         let ask = bench.chat("o4", 1);
@@ -118,7 +118,7 @@
 /// holds.
 #[test]
 fn no_more_is_served_than_is_held() {
-    let mut bench = in_outage(|tuning| tuning);
+    let mut bench = start_in_outage(|tuning| tuning);
     let me = bench.nodes[0].core.me;
     let team = "loans".parse().expect("a name");
     let held = bench.ledger().holding(me, &team);
@@ -153,7 +153,7 @@
 /// closes the dead one, so that what callers had is billed.
 #[test]
 fn a_dead_routers_bills_are_brought_by_its_peer() {
-    let mut bench = in_outage(|tuning| tuning);
+    let mut bench = start_in_outage(|tuning| tuning);
     let ask = bench.chat("o5", 1);
     let id = bench.dispatched(0, &ask);
     bench.whole(0, id);
@@ -175,9 +175,9 @@
 /// record, an hour's outage would fill the network between the routers, and callers would wait for the ends of their
 /// answers ever longer.
 #[test]
-fn what_is_left_with_peers_is_sent_once_or_so() {
+fn replicated_records_are_not_resent() {
     const REQUESTS: usize = 600;
-    let mut bench = in_outage(|tuning| tuning);
+    let mut bench = start_in_outage(|tuning| tuning);
     let before = bench.left;
     for number in 0..REQUESTS {
         let ask = bench.chat(&format!("long-{number}"), 1);
@@ -198,8 +198,8 @@
 /// A router begins anew in the middle of an outage, and a peer goes on leaving it only what is new. Batches behind a gap
 /// would count for nothing when the peer is dead, so it says that it lacks those before, and gets all.
 #[test]
-fn batches_behind_a_gap_are_not_kept() {
-    let bench = in_outage(|tuning| tuning);
+fn batches_after_a_gap_are_not_kept() {
+    let bench = start_in_outage(|tuning| tuning);
     let router = bench.nodes[0].core.me;
     let folded = bench.nodes[1].core.ledger.router(router);
     let folded = folded.expect("it is open").sequence;
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -18,7 +18,7 @@
 use crate::tokens::Tokens;
 
 /// Writes what a third router, of which this test is the hand, appends to close the first one.
-fn close(bench: &mut Bench) {
+fn append_close(bench: &mut Bench) {
     let closer = Incarnation(99);
     let open = Record::Open {
         vm: "router-9".parse().expect("a name"),
@@ -34,9 +34,9 @@
     bench.records.push(encode(&batch));
 }
 
-fn closed(bench: &mut Bench) {
+fn close_and_restart(bench: &mut Bench) {
     let old = bench.nodes[0].core.me;
-    close(bench);
+    append_close(bench);
     bench.pass(500);
     assert_ne!(bench.nodes[0].core.me, old);
     assert!(bench.nodes[0].core.serving(), "it begins anew");
@@ -50,7 +50,7 @@
     let ask = bench.chat("r1", 1);
     let id = bench.dispatched(0, &ask);
     bench.tell(0, Event::Started(id));
-    closed(&mut bench);
+    close_and_restart(&mut bench);
     assert!(bench.nodes[0].cut(id));
     assert_eq!(
         bench.nodes[0].refusal(id).map(|p| p.ran),
@@ -73,11 +73,11 @@
 /// The same with a call that may not be repeated. The service has it, and nobody can tell the outcome; were the retry run,
 /// it would take effect twice.
 #[test]
-fn a_running_call_is_unknown_for_good() {
+fn a_running_call_stays_unknown() {
     let mut bench = Bench::start(2);
     let ask = bench.call("r2", 1);
     let id = bench.dispatched(0, &ask);
-    closed(&mut bench);
+    close_and_restart(&mut bench);
     assert!(bench.nodes[0].cut(id));
     for at in 0..2 {
         let retry = bench.call("r2", 2);
@@ -95,7 +95,7 @@
 /// The router is closed while a request waits for budget to be drawn, or while its claim is on its way. Nothing was sent to
 /// an endpoint, so it goes on under the new incarnation as if nothing had happened.
 #[test]
-fn what_was_not_dispatched_is_claimed_anew() {
+fn requests_not_dispatched_are_claimed_again() {
     for (call, warm) in [(true, true), (true, false), (false, true), (false, false)] {
         let mut bench = Bench::start(2);
         if warm {
@@ -109,7 +109,7 @@
         if call {
             ask = bench.call("r3", 1);
         }
-        close(&mut bench);
+        append_close(&mut bench);
         let id = bench.arrive(0, &ask);
         let state = &bench.nodes[0].core.requests[&id].state;
         match warm {
@@ -139,14 +139,14 @@
 /// A caller hung up while its claim was on its way, and the router is closed before the claim's verdict. Nobody waits for
 /// the request any more, and it must not stay in progress: its retry would wait for it.
 #[test]
-fn what_was_given_up_is_forgotten() {
+fn an_abandoned_request_is_removed() {
     let mut bench = Bench::start(2);
     let first = bench.chat("warm", 1);
     let first = bench.dispatched(0, &first);
     bench.whole(0, first);
     bench.pass(2000);
     let ask = bench.call("r7", 1);
-    close(&mut bench);
+    append_close(&mut bench);
     let id = bench.arrive(0, &ask);
     bench.tell(0, Event::HungUp(id));
     let state = &bench.nodes[0].core.requests[&id].state;
@@ -160,11 +160,11 @@
 /// A bill is on its way, and the close stands before it in the log. The whole answer but its end is with the caller; the
 /// end must not follow.
 #[test]
-fn a_bill_that_comes_behind_the_close_cuts_its_answer() {
+fn a_bill_after_the_close_cuts_its_answer() {
     let mut bench = Bench::start(2);
     let ask = bench.chat("r4", 1);
     let id = bench.dispatched(0, &ask);
-    close(&mut bench);
+    append_close(&mut bench);
     bench.whole(0, id);
     bench.pass(500);
     assert!(bench.nodes[0].cut(id));
@@ -174,14 +174,14 @@
 
 /// A bill that stands before the close is as good as any.
 #[test]
-fn a_bill_that_comes_before_the_close_counts() {
+fn a_bill_before_the_close_counts() {
     let mut bench = Bench::start(2);
     let ask = bench.chat("r5", 1);
     let id = bench.dispatched(0, &ask);
     bench.whole(0, id);
     bench.now += super::bench::COMMIT * 4;
     bench.tell(0, Event::Tick);
-    close(&mut bench);
+    append_close(&mut bench);
     bench.pass(500);
     assert!(bench.nodes[0].released(id));
     assert!(!bench.nodes[0].cut(id));
@@ -190,7 +190,7 @@
 
 /// The requests that wait, for an endpoint or for another attempt, are not touched by a close.
 #[test]
-fn what_waits_goes_on() {
+fn waiting_requests_are_not_affected() {
     let mut bench = Bench::start(2);
     // The account's and the endpoints' limits let some of these run and have others wait.
     let ids: Vec<RequestId> = (0..200)
@@ -210,7 +210,7 @@
         .filter(|id| bench.nodes[0].runs(*id).is_empty() && bench.nodes[0].refusal(*id).is_none())
         .collect();
     assert!(!waiting.is_empty());
-    closed(&mut bench);
+    close_and_restart(&mut bench);
     assert!(bench.nodes[0].refusal(waiter).is_none());
     // The cut ones left their places.
     bench.pass(500);
@@ -224,11 +224,11 @@
 /// A refusal's proof is on its way when the router is closed. It will not come, and the caller is not told what was not
 /// proved.
 #[test]
-fn a_refusal_whose_proof_is_lost_is_unknown() {
+fn a_refusal_without_proof_is_not_reported_as_not_run() {
     let mut bench = Bench::start(2);
     let mut ask = bench.chat("r6", 2);
     ask.patience = Some(std::time::Duration::from_millis(1));
-    close(&mut bench);
+    append_close(&mut bench);
     // Its deadline passes at the first tick, before the close is read.
     bench.log = Log::Down;
     let id = bench.arrive(0, &ask);
@@ -246,7 +246,7 @@
 #[test]
 fn a_top_up_is_sent_again() {
     let mut bench = Bench::start(2);
-    close(&mut bench);
+    append_close(&mut bench);
     let before = bench
         .ledger()
         .team(&"loans".parse().expect("a name"))
--- a/src/router/tests/starved.rs
+++ b/src/router/tests/starved.rs
@@ -19,19 +19,19 @@
 use crate::tokens::Tokens;
 
 /// How old a promise may be: twice the time between two reviews.
-const AGE: Duration = Duration::from_millis(600);
+const MAX_PACE_AGE: Duration = Duration::from_millis(600);
 
 /// The router's VM.
 const VM: &str = "router-0";
 
 /// For how long a dry team's callers come.
-const SECONDS: u64 = 4;
+const LOAD_SECONDS: u64 = 4;
 
 /// What each team prepaid.
 const PREPAID: u64 = 1_000_000;
 
 /// Returns a router that serves two teams, of which others hold all but what this one drew for a while of their demand.
-fn starved(dry: &[&str]) -> Site {
+fn start_starved(dry: &[&str]) -> Site {
     let mut site = Site::start(0);
     let payers = vec![
         payer("loans", "key", PREPAID),
@@ -45,13 +45,14 @@
             site.handle(Event::Ended(id, whole(7)));
         }
     }
-    dry.iter().for_each(|team| take_rest(&mut site, team));
+    dry.iter()
+        .for_each(|team| draw_remainder_elsewhere(&mut site, team));
     site
 }
 
 /// Has other routers draw all of a team's budget that this one does not hold.
-fn take_rest(site: &mut Site, team: &str) {
-    let own = newest(site, team).granted;
+fn draw_remainder_elsewhere(site: &mut Site, team: &str) {
+    let own = newest_grant(site, team).granted;
     let key = GrantKey {
         vm: "router-9".parse().expect("a name"),
         router: Incarnation(9),
@@ -69,13 +70,13 @@
 }
 
 /// Returns how often this router's grant of a team's budget was written.
-fn written(site: &Site, team: &str) -> usize {
+fn grant_writes(site: &Site, team: &str) -> usize {
     let mine = |key: &GrantKey| key.team.as_str() == team && key.vm.as_str() == VM;
     site.rows.iter().filter(|(_, key, _)| mine(key)).count()
 }
 
 /// Returns this router's newest grant of a team's budget in the log.
-fn newest(site: &Site, team: &str) -> GrantRow {
+fn newest_grant(site: &Site, team: &str) -> GrantRow {
     let team: TeamId = team.parse().expect("a name");
     let mut rows = site.rows.iter().rev();
     let newest = rows.find(|(_, key, _)| key.team == team && key.vm.as_str() == VM);
@@ -90,7 +91,7 @@
 /// about a dry team, and none for twelve seconds about another.
 #[test]
 fn a_dry_team_leaves_the_others_their_reviews() {
-    let mut site = starved(&["loans"]);
+    let mut site = start_starved(&["loans"]);
     for _ in 0..40 {
         site.receive_peer_heartbeat(1000);
         let id = site.send_as("other", "stream", 993, 7);
@@ -99,9 +100,9 @@
         site.handle(Event::Ended(id, whole(7)));
         site.advance(80);
     }
-    let promise = newest(&site, "maps").pace.expect("a promise");
-    let age = site.now - site.started - (promise.made.wall - START_TIME);
-    assert!(age <= AGE, "{age:?} old");
+    let pace = newest_grant(&site, "maps").pace.expect("a pace");
+    let age = site.now - site.started - (pace.made.wall - START_TIME);
+    assert!(age <= MAX_PACE_AGE, "{age:?} old");
 }
 
 /// The callers of one dry team come back, and those of another stay away, whose rest goes back in ever smaller steps. Were a
@@ -110,24 +111,24 @@
 /// seconds, and lose what they hold of all teams with their power.
 #[test]
 fn a_dry_team_has_little_written() {
-    let mut site = starved(&["loans", "maps"]);
-    let before = written(&site, "maps");
-    for _ in 0..SECONDS * 10 {
+    let mut site = start_starved(&["loans", "maps"]);
+    let before = grant_writes(&site, "maps");
+    for _ in 0..LOAD_SECONDS * 10 {
         site.receive_peer_heartbeat(1000);
         site.send("stream", 900_000, 7);
         site.advance(100);
-        take_rest(&mut site, "maps");
+        draw_remainder_elsewhere(&mut site, "maps");
     }
-    let most = (SECONDS * 1000 / 300 + 1) as usize;
-    let written = written(&site, "maps") - before;
-    assert!(written <= most, "{written} of at most {most} writes");
+    let max = (LOAD_SECONDS * 1000 / 300 + 1) as usize;
+    let writes = grant_writes(&site, "maps") - before;
+    assert!(writes <= max, "{writes} of at most {max} writes");
 }
 
 /// Guards against callers elsewhere who wait a whole review for what lies idle here.
 #[test]
-fn a_rest_that_others_ask_for_goes_back_before_the_next_review() {
-    let mut site = starved(&["loans"]);
-    let before = newest(&site, "maps").granted;
+fn budget_that_others_demand_is_returned_before_the_next_review() {
+    let mut site = start_starved(&["loans"]);
+    let before = newest_grant(&site, "maps").granted;
     let beat = Heartbeat {
         purses: vec![PurseWord {
             team: "maps".parse().expect("a name"),
@@ -140,6 +141,6 @@
     site.advance(40);
     site.send("stream", 900_000, 7);
     site.advance(40);
-    let left = newest(&site, "maps").granted;
+    let left = newest_grant(&site, "maps").granted;
     assert!(left < before, "{left} of {before}");
 }
