--- a/src/escrow/tests/record.rs
+++ b/src/escrow/tests/record.rs
@@ -15,7 +15,7 @@
 use crate::tokens::Tokens;
 
 #[test]
-fn a_key_and_a_value_come_back() {
+fn keys_and_values_round_trip() {
     let key = GrantKey {
         vm: "vm-1".parse().expect("a name"),
         router: Incarnation(u64::MAX),
@@ -39,11 +39,11 @@
         earliest: Duration::from_secs(1_800_000_000),
         latest: Duration::from_secs(1_800_000_001),
     };
-    let told = SpendPace {
+    let with_fleet = SpendPace {
         fleet: Some(span),
         ..pace
     };
-    for pace in [None, Some(pace), Some(told)] {
+    for pace in [None, Some(pace), Some(with_fleet)] {
         let row = GrantRow {
             granted: Tokens(7),
             spent: Tokens(5),
@@ -56,7 +56,7 @@
 /// The log holds grants of a version of the product that made no promises. They stand, as grants of which nothing can be
 /// given back.
 #[test]
-fn a_grant_without_a_promise_is_read() {
+fn a_grant_without_a_pace_is_decoded() {
     let old = postcard::to_stdvec(&(700u64, 5u64)).expect("numbers can be encoded");
     let row = GrantRow {
         granted: Tokens(700),
@@ -68,7 +68,7 @@
 
 /// A record of something else lies in the topic. It is told apart, and stops nobody.
 #[test]
-fn what_is_no_grant_is_told() {
+fn malformed_records_are_rejected() {
     for text in ["", "vm-1", "vm-1\tx\tloans", "vm-1\t1\t", "a\t1\tb\tc"] {
         assert_eq!(
             text.parse::<GrantKey>(),
--- a/src/escrow/tests/world.rs
+++ b/src/escrow/tests/world.rs
@@ -24,27 +24,27 @@
 use crate::tokens::Tokens;
 
 /// What is spent or lent at once; what the team prepaid, and what a router draws, are some of it.
-const UNIT: u64 = 10;
-const PREPAID: u64 = 3 * UNIT;
-const DRAW: u64 = 2 * UNIT;
+const UNIT_TOKENS: u64 = 10;
+const PREPAID_TOKENS: u64 = 3 * UNIT_TOKENS;
+const DRAW_TOKENS: u64 = 2 * UNIT_TOKENS;
 
 /// What a promise lets be used at once, and for each second since.
-const ROOM: u64 = 0;
-const RATE: u64 = 1;
+const ROOM_TOKENS: u64 = 0;
+const TOKENS_PER_S: u64 = 1;
 
 /// How long it takes until the rate lets one unit more be used.
-const TICK: Duration = Duration::from_secs(UNIT / RATE);
+const TICK: Duration = Duration::from_secs(UNIT_TOKENS / TOKENS_PER_S);
 
 /// How many ticks pass at most, beyond those at the beginning of a history.
-const TICKS: u64 = 2;
+const MAX_TICKS: u64 = 2;
 
 /// How far the first VM's time of day is ahead until it loses its power: so far that a third of two ticks is seen, once the
 /// allowance for a clock that fell back is added half of them.
-const AHEAD: Duration = Duration::from_secs(13);
+const CLOCK_AHEAD: Duration = Duration::from_secs(13);
 
 /// How many lifetimes each VM may have, and how many appends may be on their way.
-const LIVES: u64 = 2;
-const CALLS: usize = 2;
+const MAX_LIVES: u64 = 2;
+const MAX_APPENDS: usize = 2;
 
 /// A rule that can be left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,21 +52,21 @@
     /// An append is carried out only where the partition ends as it says.
     Condition,
     /// A draw leaves the others their grants.
-    Others,
+    OtherGrants,
     /// What a pending append gives up is not spent.
-    GivenUp,
+    PendingReturn,
     /// An append whose answer was lost stays pending until the partition has moved on.
-    Doubt,
+    Uncertain,
     /// What was lent is not spent by the lender.
-    LentOnce,
+    LoanDebit,
     /// No more is used than was promised.
-    Promise,
+    Pace,
     /// No more is used than the promise allows that a pending append makes.
-    PendingPromise,
+    PendingPace,
     /// Who gives back what a dead lifetime can't have touched allows for the time that passed since its promise.
-    Passed,
+    ElapsedTime,
     /// After a loss of power that time is told by the clocks of the fleet.
-    Fleet,
+    FleetClock,
 }
 
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
     /// The promise is written anew; only at the beginning of a history, for it can be done without end.
     Renew(usize),
     /// The append is sent again.
-    Again(usize),
+    Resend(usize),
     /// An append reaches the log, and its answer its router.
     Arrive(usize),
     /// The answer is lost, before the append was carried out or after.
@@ -85,17 +85,17 @@
     Spend(usize),
     Lend(usize),
     /// As `Lend`, but the borrower never hears of it.
-    LendInVain(usize),
-    Die(usize),
+    LendUnheard(usize),
+    Crash(usize),
     /// What dead lifetimes on the VM can't have touched is given back.
-    GiveBack(usize),
+    Reclaim(usize),
     /// A tick passes.
-    Wait,
+    Tick,
 }
 
 #[derive(Clone, Debug)]
 struct Router {
-    book: GrantState,
+    grants: GrantState,
     life: u64,
     spent: u64,
     lent: u64,
@@ -105,7 +105,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Call {
+struct PendingAppend {
     router: usize,
     life: u64,
     proposal: Proposal,
@@ -117,17 +117,17 @@
 pub(super) struct World {
     log: Vec<(GrantKey, GrantRow)>,
     routers: [Router; 2],
-    calls: Vec<Call>,
+    appends: Vec<PendingAppend>,
     /// What lifetimes that are over had spent.
-    buried: u64,
+    dead_spent: u64,
     /// How many ticks passed; grants carry promises only where time passes.
     time: u64,
-    until: u64,
-    paced: bool,
-    lends: bool,
+    end_time: u64,
+    with_pace: bool,
+    loans: bool,
     /// Whether a router dies by a loss of power, which sets the first VM's time of day right.
-    power: bool,
-    left_out: Option<Rule>,
+    power_loss: bool,
+    omitted: Option<Rule>,
 }
 
 fn team() -> TeamId {
@@ -147,7 +147,7 @@
 impl Router {
     fn new(at: usize, life: u64, start: ClockReading) -> Self {
         Self {
-            book: GrantState::new(vm(at), Incarnation(10 * at as u64 + life)),
+            grants: GrantState::new(vm(at), Incarnation(10 * at as u64 + life)),
             life,
             spent: 0,
             lent: 0,
@@ -162,25 +162,25 @@
 }
 
 impl World {
-    pub(super) fn new(left_out: Option<Rule>) -> Self {
+    pub(super) fn new(omitted: Option<Rule>) -> Self {
         Self {
             log: Vec::new(),
             routers: [0, 1].map(|at| Router::new(at, 0, Self::reading(at, 0, 0, false))),
-            calls: Vec::new(),
-            buried: 0,
+            appends: Vec::new(),
+            dead_spent: 0,
             time: 0,
-            until: TICKS,
-            paced: false,
-            lends: true,
-            power: false,
-            left_out,
+            end_time: MAX_TICKS,
+            with_pace: false,
+            loans: true,
+            power_loss: false,
+            omitted,
         }
     }
 
     /// Returns a world in which time passes and grants carry promises.
-    pub(super) fn paced(self) -> Self {
+    pub(super) fn with_pace(self) -> Self {
         Self {
-            paced: true,
+            with_pace: true,
             ..self
         }
     }
@@ -188,15 +188,15 @@
     /// Returns a world in which nobody lends: it has fewer states.
     pub(super) fn without_loans(self) -> Self {
         Self {
-            lends: false,
+            loans: false,
             ..self
         }
     }
 
     /// Returns a world in which routers die by a loss of power, and the first VM's clock is wrong until then.
-    pub(super) fn powered(self) -> Self {
+    pub(super) fn with_power_loss(self) -> Self {
         let mut world = Self {
-            power: true,
+            power_loss: true,
             ..self
         };
         for at in 0..world.routers.len() {
@@ -207,8 +207,8 @@
 
     /// Returns what the clocks of a VM and of its fleet read; most of those are right.
     fn clocks(&self, at: usize, life: u64) -> ClockReading {
-        let reading = Self::reading(at, life, self.time, self.power);
-        match self.lacks(Rule::Fleet) {
+        let reading = Self::reading(at, life, self.time, self.power_loss);
+        match self.omits(Rule::FleetClock) {
             true => ClockReading {
                 fleet: None,
                 ..reading
@@ -220,7 +220,7 @@
     fn reading(at: usize, life: u64, time: u64, power: bool) -> ClockReading {
         let passed = since_epoch(time);
         let (boot, ahead) = match power {
-            true => (life, (at == 0 && life == 0).then_some(AHEAD)),
+            true => (life, (at == 0 && life == 0).then_some(CLOCK_AHEAD)),
             false => (0, None),
         };
         ClockReading {
@@ -244,25 +244,25 @@
     }
 
     /// Returns the world after the first router's first draw.
-    pub(super) fn drawn(self) -> Self {
+    pub(super) fn after_draw(self) -> Self {
         self.after(&[Step::Read(0), Step::Draw(0), Step::Arrive(0)])
     }
 
     /// Returns the world after the first router's new promise reached the log, and it did not hear so.
-    pub(super) fn unheard(self) -> Self {
+    pub(super) fn after_lost_renewal(self) -> Self {
         self.after(&[Step::Renew(0), Step::Lose(0), Step::Arrive(0)])
     }
 
     /// Returns the world two ticks later.
-    pub(super) fn later(self) -> Self {
-        let mut world = self.after(&[Step::Wait, Step::Wait]);
-        world.until += world.time;
+    pub(super) fn after_two_ticks(self) -> Self {
+        let mut world = self.after(&[Step::Tick, Step::Tick]);
+        world.end_time += world.time;
         world
     }
 
     /// Returns the world after the first router spent all that it drew, and died.
-    pub(super) fn died(self) -> Self {
-        self.after(&[Step::Spend(0), Step::Spend(0), Step::Die(0)])
+    pub(super) fn after_crash(self) -> Self {
+        self.after(&[Step::Spend(0), Step::Spend(0), Step::Crash(0)])
     }
 
     fn after(self, steps: &[Step]) -> Self {
@@ -270,25 +270,25 @@
         steps.iter().fold(self, take)
     }
 
-    fn lacks(&self, rule: Rule) -> bool {
-        self.left_out == Some(rule)
+    fn omits(&self, rule: Rule) -> bool {
+        self.omitted == Some(rule)
     }
 
-    fn idle(&self, at: usize) -> u64 {
+    fn available(&self, at: usize) -> u64 {
         let router = &self.routers[at];
-        let (book, now) = (&router.book, self.now(at));
-        let open = match self.left_out {
-            Some(Rule::GivenUp) => book
+        let (grants, now) = (&router.grants, self.now(at));
+        let open = match self.omitted {
+            Some(Rule::PendingReturn) => grants
                 .row(&team())
                 .granted
-                .min(book.row(&team()).usable_at(&now)),
-            Some(Rule::Promise) => book.granted(&team()),
-            Some(Rule::PendingPromise) => {
-                book.granted(&team()).min(book.row(&team()).usable_at(&now))
-            }
-            _ => book.usable_at(&team(), &now),
+                .min(grants.row(&team()).usable_at(&now)),
+            Some(Rule::Pace) => grants.granted(&team()),
+            Some(Rule::PendingPace) => grants
+                .granted(&team())
+                .min(grants.row(&team()).usable_at(&now)),
+            _ => grants.usable_at(&team(), &now),
         };
-        let lent = match self.lacks(Rule::LentOnce) {
+        let lent = match self.omits(Rule::LoanDebit) {
             true => 0,
             false => router.lent,
         };
@@ -296,7 +296,7 @@
     }
 
     fn propose(&mut self, at: usize, granted: Option<u64>) -> Option<()> {
-        let generous = self.lacks(Rule::Others);
+        let ignores_others = self.omits(Rule::OtherGrants);
         let now = self.now(at);
         let router = &self.routers[at];
         let change = granted.map(|granted| GrantChange {
@@ -304,35 +304,35 @@
             row: GrantRow {
                 granted: Tokens(granted),
                 spent: Tokens(router.spent),
-                pace: self.paced.then(|| SpendPace {
+                pace: self.with_pace.then(|| SpendPace {
                     made: now.own,
                     used: Tokens(router.in_use()),
-                    room: Tokens(ROOM),
-                    rate: TokenRate(RATE),
+                    room: Tokens(ROOM_TOKENS),
+                    rate: TokenRate(TOKENS_PER_S),
                     fleet: now.fleet,
                 }),
             },
         });
-        let prepaid = |_: &TeamId| match generous {
-            true => Tokens(100 * UNIT),
-            false => Tokens(PREPAID),
+        let prepaid = |_: &TeamId| match ignores_others {
+            true => Tokens(100 * UNIT_TOKENS),
+            false => Tokens(PREPAID_TOKENS),
         };
         // With no time passed, a dead lifetime would have used nothing since its promise.
-        let start = match self.lacks(Rule::Passed) {
+        let start = match self.omits(Rule::ElapsedTime) {
             true => Self::reading(at, 0, 0, false),
             false => router.start,
         };
         let changes = change.into_iter().collect();
-        let book = &mut self.routers[at].book;
-        let proposal = book.propose(changes, &start, prepaid)?;
+        let grants = &mut self.routers[at].grants;
+        let proposal = grants.propose(changes, &start, prepaid)?;
         self.send(at, proposal)
     }
 
     fn send(&mut self, at: usize, proposal: Proposal) -> Option<()> {
-        if self.calls.len() >= CALLS {
+        if self.appends.len() >= MAX_APPENDS {
             return None;
         }
-        self.calls.push(Call {
+        self.appends.push(PendingAppend {
             router: at,
             life: self.routers[at].life,
             proposal,
@@ -344,51 +344,51 @@
     fn read(&mut self, at: usize) {
         for (offset, (key, row)) in self.log.iter().enumerate() {
             self.routers[at]
-                .book
+                .grants
                 .apply(Offset(offset as u64), key, *row);
         }
         let end = Offset(self.log.len() as u64);
-        self.routers[at].book.advance(end);
+        self.routers[at].grants.advance(end);
     }
 
-    fn arrive(&mut self, call: usize) {
-        let call = self.calls.remove(call);
-        let at = call.proposal.at;
-        let holds = at.0 == self.log.len() as u64 || self.lacks(Rule::Condition);
+    fn arrive(&mut self, append: usize) {
+        let append = self.appends.remove(append);
+        let at = append.proposal.at;
+        let holds = at.0 == self.log.len() as u64 || self.omits(Rule::Condition);
         if holds {
-            self.log.extend(call.proposal.records.iter().cloned());
+            self.log.extend(append.proposal.records.iter().cloned());
         }
-        let router = &mut self.routers[call.router];
+        let router = &mut self.routers[append.router];
         // The answer to a lifetime that is over, or that was lost, is heard by nobody.
-        if !call.lost && router.life == call.life && holds {
-            router.book.confirm(at);
+        if !append.lost && router.life == append.life && holds {
+            router.grants.confirm(at);
         }
     }
 
-    fn lose(&mut self, call: usize) {
-        let at = self.calls[call].proposal.at;
-        self.calls[call].lost = true;
-        let forgets = self.lacks(Rule::Doubt);
-        let call = &self.calls[call];
-        let router = &mut self.routers[call.router];
-        if router.life != call.life {
+    fn lose(&mut self, append: usize) {
+        let at = self.appends[append].proposal.at;
+        self.appends[append].lost = true;
+        let forgets = self.omits(Rule::Uncertain);
+        let append = &self.appends[append];
+        let router = &mut self.routers[append.router];
+        if router.life != append.life {
             return;
         }
         match forgets {
-            true => router.book.reject(at),
-            false => router.book.mark_uncertain(at),
+            true => router.grants.reject(at),
+            false => router.grants.mark_uncertain(at),
         }
     }
 
     fn lend(&mut self, at: usize, heard: bool) {
-        self.routers[at].lent += UNIT;
+        self.routers[at].lent += UNIT_TOKENS;
         if heard {
-            self.routers[1 - at].borrowed += UNIT;
+            self.routers[1 - at].borrowed += UNIT_TOKENS;
         }
     }
 
-    fn die(&mut self, at: usize) {
-        self.buried += self.routers[at].spent;
+    fn crash(&mut self, at: usize) {
+        self.dead_spent += self.routers[at].spent;
         let life = self.routers[at].life + 1;
         self.routers[at] = Router::new(at, life, self.clocks(at, life));
     }
@@ -409,28 +409,28 @@
                 Step::Read(at),
                 Step::Draw(at),
                 Step::Return(at),
-                Step::Again(at),
+                Step::Resend(at),
             ]);
-            if self.idle(at) >= UNIT {
+            if self.available(at) >= UNIT_TOKENS {
                 steps.push(Step::Spend(at));
             }
-            if self.lends && self.idle(at) >= UNIT && router.lent == 0 {
-                steps.extend([Step::Lend(at), Step::LendInVain(at)]);
+            if self.loans && self.available(at) >= UNIT_TOKENS && router.lent == 0 {
+                steps.extend([Step::Lend(at), Step::LendUnheard(at)]);
             }
-            if self.paced && router.life > 0 {
-                steps.push(Step::GiveBack(at));
+            if self.with_pace && router.life > 0 {
+                steps.push(Step::Reclaim(at));
             }
-            if router.life + 1 < LIVES {
-                steps.push(Step::Die(at));
+            if router.life + 1 < MAX_LIVES {
+                steps.push(Step::Crash(at));
             }
         }
-        if self.paced && self.time < self.until {
-            steps.push(Step::Wait);
+        if self.with_pace && self.time < self.end_time {
+            steps.push(Step::Tick);
         }
-        for call in 0..self.calls.len() {
-            steps.push(Step::Arrive(call));
-            if !self.calls[call].lost {
-                steps.push(Step::Lose(call));
+        for append in 0..self.appends.len() {
+            steps.push(Step::Arrive(append));
+            if !self.appends[append].lost {
+                steps.push(Step::Lose(append));
             }
         }
         steps
@@ -441,39 +441,39 @@
         match *step {
             Step::Read(at) => next.read(at),
             Step::Draw(at) => {
-                let granted = self.routers[at].book.granted(&team()).0;
-                next.propose(at, Some(granted + DRAW))?;
+                let granted = self.routers[at].grants.granted(&team()).0;
+                next.propose(at, Some(granted + DRAW_TOKENS))?;
             }
             Step::Return(at) => {
-                let granted = self.routers[at].book.granted(&team()).0;
-                let idle = self.idle(at).min(granted);
-                if idle == 0 {
+                let granted = self.routers[at].grants.granted(&team()).0;
+                let available = self.available(at).min(granted);
+                if available == 0 {
                     return None;
                 }
-                next.propose(at, Some(granted - idle))?;
+                next.propose(at, Some(granted - available))?;
             }
             Step::Renew(at) => {
-                let granted = self.routers[at].book.granted(&team()).0;
+                let granted = self.routers[at].grants.granted(&team()).0;
                 next.propose(at, Some(granted))?;
             }
-            Step::Again(at) => {
-                let pending = self.routers[at].book.pending()?.clone();
+            Step::Resend(at) => {
+                let pending = self.routers[at].grants.pending()?.clone();
                 next.send(at, pending)?;
             }
-            Step::Arrive(call) => next.arrive(call),
-            Step::Lose(call) => next.lose(call),
-            Step::Spend(at) => next.routers[at].spent += UNIT,
+            Step::Arrive(append) => next.arrive(append),
+            Step::Lose(append) => next.lose(append),
+            Step::Spend(at) => next.routers[at].spent += UNIT_TOKENS,
             Step::Lend(at) => next.lend(at, true),
-            Step::LendInVain(at) => next.lend(at, false),
-            Step::Die(at) => next.die(at),
-            Step::GiveBack(at) => next.propose(at, None)?,
-            Step::Wait => next.time += 1,
+            Step::LendUnheard(at) => next.lend(at, false),
+            Step::Crash(at) => next.crash(at),
+            Step::Reclaim(at) => next.propose(at, None)?,
+            Step::Tick => next.time += 1,
         }
         Some(next)
     }
 
     fn broken(&self) -> Option<&'static str> {
         let spent: u64 = self.routers.iter().map(|router| router.spent).sum();
-        (spent + self.buried > PREPAID).then_some("more was served than was prepaid")
+        (spent + self.dead_spent > PREPAID_TOKENS).then_some("more was served than was prepaid")
     }
 }
