--- a/src/escrow/tests/mod.rs
+++ b/src/escrow/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The model check of grants, with the real grant state, and its records.
+//! Model check of grants with the production `GrantState`, and tests of its records.
 
 mod record;
 mod world;
@@ -8,7 +8,7 @@
 
 use crate::explore::explore;
 
-/// How many states each exploration may reach.
+/// The maximum number of states per exploration.
 const MAX_STATES: usize = 120_000;
 
 fn run(world: World, name: &str) -> Option<String> {
@@ -22,8 +22,8 @@
         .map(|fault| format!("{} after {:?}", fault.broken, fault.steps))
 }
 
-/// Two routers draw on one budget through a log that loses answers and carries appends out late; they lend to each other,
-/// die and come back without a memory. The team is never served more than it prepaid.
+/// Two routers draw on one budget through a log that loses answers and delays appends; they lend to each other, crash
+/// and restart without state. The team is never served more than it prepaid.
 #[test]
 fn never_serves_more_than_prepaid() {
     assert_eq!(run(World::new(None), "all rules"), None);
@@ -33,21 +33,20 @@
     );
 }
 
-/// The same where time passes, grants carry promises about how fast they are spent, and routers that come back give back what
-/// the dead can't have touched.
+/// With time: grants carry a spend pace, and restarted routers return what their dead incarnations cannot have spent.
 #[test]
 fn reclaimed_budget_was_not_spent() {
     let world = World::new(None).with_pace();
-    assert_eq!(run(world.clone(), "promises"), None);
+    assert_eq!(run(world.clone(), "spend pace"), None);
     assert_eq!(
-        run(world.clone().after_draw(), "promises, after a draw"),
+        run(world.clone().after_draw(), "spend pace, after a draw"),
         None
     );
     let world = world.without_loans().after_draw();
-    assert_eq!(run(world, "promises, after a draw, without loans"), None);
+    assert_eq!(run(world, "spend pace, after a draw, without loans"), None);
 }
 
-/// The same where routers lose their power, and the clock of one VM was far ahead before.
+/// With power losses, before which the clock of one VM was far ahead.
 #[test]
 fn reclaimed_budget_was_not_spent_before_a_power_loss() {
     let world = World::new(None)
@@ -55,17 +54,14 @@
         .with_power_loss()
         .without_loans()
         .after_draw();
-    assert_eq!(run(world.clone(), "losses of power"), None);
+    assert_eq!(run(world.clone(), "power losses"), None);
     assert_eq!(
-        run(
-            world.after_two_ticks().after_crash(),
-            "after a loss of power"
-        ),
+        run(world.after_two_ticks().after_crash(), "after a power loss"),
         None
     );
 }
 
-/// The same with one rule left out at a time: each of them is needed, for without it the team is served too much.
+/// Omits one rule at a time: each is needed, because without it the team is served more than it prepaid.
 #[test]
 fn each_rule_is_needed() {
     for rule in [
@@ -103,6 +99,6 @@
 
 fn assert_needed(rule: Rule, world: World) {
     let fault = run(world, &format!("all but {rule:?}"));
-    println!("  {}", fault.as_deref().unwrap_or("nothing"));
-    assert!(fault.is_some(), "it holds without {rule:?}");
+    println!("  {}", fault.as_deref().unwrap_or("no violation"));
+    assert!(fault.is_some(), "the invariant holds without {rule:?}");
 }
--- a/src/escrow/tests/record.rs
+++ b/src/escrow/tests/record.rs
@@ -1,4 +1,4 @@
-//! Records.
+//! Encoding and decoding of grant records.
 
 use std::time::Duration;
 
@@ -53,8 +53,8 @@
     }
 }
 
-/// The log holds grants of a version of the product that made no promises. They stand, as grants of which nothing can be
-/// given back.
+/// The log holds grants from a version without spend paces. They stay valid, but nothing of them can be returned for a
+/// dead incarnation.
 #[test]
 fn a_grant_without_a_pace_is_decoded() {
     let old = postcard::to_stdvec(&(700u64, 5u64)).expect("numbers can be encoded");
@@ -66,7 +66,7 @@
     assert_eq!(GrantRow::decode(&old), Ok(row));
 }
 
-/// A record of something else lies in the topic. It is told apart, and stops nobody.
+/// The topic holds a record of another kind. It is recognised as such and gives an error, not a panic.
 #[test]
 fn malformed_records_are_rejected() {
     for text in ["", "vm-1", "vm-1\tx\tloans", "vm-1\t1\t", "a\t1\tb\tc"] {
--- a/src/escrow/tests/world.rs
+++ b/src/escrow/tests/world.rs
@@ -1,4 +1,4 @@
-//! Two routers, one budget and a log that loses answers.
+//! The model: two routers, one budget and a log that loses answers.
 
 use std::time::Duration;
 
@@ -23,49 +23,49 @@
 use crate::tokens::TokenRate;
 use crate::tokens::Tokens;
 
-/// What is spent or lent at once; what the team prepaid, and what a router draws, are some of it.
+/// The amount of one spend or loan; the prepaid amount and each draw are multiples of it.
 const UNIT_TOKENS: u64 = 10;
 const PREPAID_TOKENS: u64 = 3 * UNIT_TOKENS;
 const DRAW_TOKENS: u64 = 2 * UNIT_TOKENS;
 
-/// What a promise lets be used at once, and for each second since.
+/// What a spend pace allows to be used at once, and per second after it was made.
 const ROOM_TOKENS: u64 = 0;
 const TOKENS_PER_S: u64 = 1;
 
-/// How long it takes until the rate lets one unit more be used.
+/// The time in which the rate allows one more unit to be used.
 const TICK: Duration = Duration::from_secs(UNIT_TOKENS / TOKENS_PER_S);
 
-/// How many ticks pass at most, beyond those at the beginning of a history.
+/// The maximum number of ticks after those of the initial history.
 const MAX_TICKS: u64 = 2;
 
-/// How far the first VM's time of day is ahead until it loses its power: so far that a third of two ticks is seen, once the
-/// allowance for a clock that fell back is added half of them.
+/// How far the first VM's wall clock is ahead until its power loss. Of two ticks it then shows 7 s, a third, and half
+/// of them once the allowance of 3 s for a clock that fell back is added.
 const CLOCK_AHEAD: Duration = Duration::from_secs(13);
 
-/// How many lifetimes each VM may have, and how many appends may be on their way.
+/// The maximum number of router incarnations per VM, and of appends in flight.
 const MAX_LIVES: u64 = 2;
 const MAX_APPENDS: usize = 2;
 
-/// A rule that can be left out.
+/// A rule of the protocol that can be omitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rule {
-    /// An append is carried out only where the partition ends as it says.
+    /// An append takes effect only if the partition ends at the expected offset.
     Condition,
-    /// A draw leaves the others their grants.
+    /// A draw does not use what is granted to others.
     OtherGrants,
-    /// What a pending append gives up is not spent.
+    /// What a pending append returns is not spent.
     PendingReturn,
-    /// An append whose answer was lost stays pending until the partition has moved on.
+    /// An append whose answer was lost stays pending until the partition has advanced.
     Uncertain,
-    /// What was lent is not spent by the lender.
+    /// The lender does not spend what it lent.
     LoanDebit,
-    /// No more is used than was promised.
+    /// No more is used than the spend pace allows.
     Pace,
-    /// No more is used than the promise allows that a pending append makes.
+    /// No more is used than the spend pace in a pending append allows.
     PendingPace,
-    /// Who gives back what a dead lifetime can't have touched allows for the time that passed since its promise.
+    /// A return of what a dead incarnation cannot have spent allows for the time since its pace was made.
     ElapsedTime,
-    /// After a loss of power that time is told by the clocks of the fleet.
+    /// After a power loss that time is measured by the clocks of the fleet.
     FleetClock,
 }
 
@@ -74,22 +74,22 @@
     Read(usize),
     Draw(usize),
     Return(usize),
-    /// The promise is written anew; only at the beginning of a history, for it can be done without end.
+    /// Writes the spend pace again. Only used in initial histories, because it can be repeated without end.
     Renew(usize),
-    /// The append is sent again.
+    /// Sends the pending append again.
     Resend(usize),
-    /// An append reaches the log, and its answer its router.
+    /// An append reaches the log, and the answer its router.
     Arrive(usize),
-    /// The answer is lost, before the append was carried out or after.
+    /// The answer is lost, before or after the append takes effect.
     Lose(usize),
     Spend(usize),
     Lend(usize),
-    /// As `Lend`, but the borrower never hears of it.
+    /// As `Lend`, but the borrower never receives the answer.
     LendUnheard(usize),
     Crash(usize),
-    /// What dead lifetimes on the VM can't have touched is given back.
+    /// Returns what dead incarnations on the VM cannot have spent.
     Reclaim(usize),
-    /// A tick passes.
+    /// Advances the time by one tick.
     Tick,
 }
 
@@ -100,7 +100,7 @@
     spent: u64,
     lent: u64,
     borrowed: u64,
-    /// When the lifetime began.
+    /// When the incarnation started.
     start: ClockReading,
 }
 
@@ -109,7 +109,7 @@
     router: usize,
     life: u64,
     proposal: Proposal,
-    /// Whether nobody waits for its answer any more.
+    /// Whether its answer was lost.
     lost: bool,
 }
 
@@ -118,14 +118,14 @@
     log: Vec<(GrantKey, GrantRow)>,
     routers: [Router; 2],
     appends: Vec<PendingAppend>,
-    /// What lifetimes that are over had spent.
+    /// What dead incarnations spent.
     dead_spent: u64,
-    /// How many ticks passed; grants carry promises only where time passes.
+    /// The number of ticks passed; time passes only if grants carry a spend pace.
     time: u64,
     end_time: u64,
     with_pace: bool,
     loans: bool,
-    /// Whether a router dies by a loss of power, which sets the first VM's time of day right.
+    /// Whether routers crash by a power loss, which also corrects the first VM's wall clock.
     power_loss: bool,
     omitted: Option<Rule>,
 }
@@ -138,7 +138,7 @@
     format!("vm-{at}").parse().expect("a name")
 }
 
-/// Returns how long ago the histories began, counted from before them.
+/// Returns the time since the Unix epoch after some ticks.
 fn since_epoch(time: u64) -> Duration {
     let ticks = u32::try_from(time).expect("few ticks");
     Duration::from_secs(1000) + TICK * ticks
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns a world in which time passes and grants carry promises.
+    /// Returns a world in which time passes and grants carry a spend pace.
     pub(super) fn with_pace(self) -> Self {
         Self {
             with_pace: true,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Returns a world in which nobody lends: it has fewer states.
+    /// Returns a world without loans, which has fewer states.
     pub(super) fn without_loans(self) -> Self {
         Self {
             loans: false,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Returns a world in which routers die by a loss of power, and the first VM's clock is wrong until then.
+    /// Returns a world in which routers crash by a power loss, and the first VM's clock is wrong until then.
     pub(super) fn with_power_loss(self) -> Self {
         let mut world = Self {
             power_loss: true,
@@ -205,7 +205,7 @@
         world
     }
 
-    /// Returns what the clocks of a VM and of its fleet read; most of those are right.
+    /// Returns the clocks of a VM and of the fleet; the fleet's span is correct.
     fn clocks(&self, at: usize, life: u64) -> ClockReading {
         let reading = Self::reading(at, life, self.time, self.power_loss);
         match self.omits(Rule::FleetClock) {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Returns what the clocks of a router's VM read now.
+    /// Returns the current clock reading on a router's VM.
     fn now(&self, at: usize) -> ClockReading {
         self.clocks(at, self.routers[at].life)
     }
@@ -248,7 +248,7 @@
         self.after(&[Step::Read(0), Step::Draw(0), Step::Arrive(0)])
     }
 
-    /// Returns the world after the first router's new promise reached the log, and it did not hear so.
+    /// Returns the world after the first router's new spend pace reached the log but the answer was lost.
     pub(super) fn after_lost_renewal(self) -> Self {
         self.after(&[Step::Renew(0), Step::Lose(0), Step::Arrive(0)])
     }
@@ -260,13 +260,13 @@
         world
     }
 
-    /// Returns the world after the first router spent all that it drew, and died.
+    /// Returns the world after the first router spent all that it drew, and crashed.
     pub(super) fn after_crash(self) -> Self {
         self.after(&[Step::Spend(0), Step::Spend(0), Step::Crash(0)])
     }
 
     fn after(self, steps: &[Step]) -> Self {
-        let take = |world: Self, step| world.take(step).expect("nothing stands against it");
+        let take = |world: Self, step| world.take(step).expect("the step is possible");
         steps.iter().fold(self, take)
     }
 
@@ -317,7 +317,7 @@
             true => Tokens(100 * UNIT_TOKENS),
             false => Tokens(PREPAID_TOKENS),
         };
-        // With no time passed, a dead lifetime would have used nothing since its promise.
+        // With no time passed, a dead incarnation would have used nothing since its pace was made.
         let start = match self.omits(Rule::ElapsedTime) {
             true => Self::reading(at, 0, 0, false),
             false => router.start,
@@ -359,7 +359,7 @@
             self.log.extend(append.proposal.records.iter().cloned());
         }
         let router = &mut self.routers[append.router];
-        // The answer to a lifetime that is over, or that was lost, is heard by nobody.
+        // No router receives an answer that was lost or whose incarnation is dead.
         if !append.lost && router.life == append.life && holds {
             router.grants.confirm(at);
         }
--- a/src/router/tests/drained_domains.rs
+++ b/src/router/tests/drained_domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains that the operator drains.
+//! Failure domains that an operator drains.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::router::tests::site::entry;
 use crate::vms::VmEntry;
 
-/// How many endpoints each of the failure domains has.
+/// The number of endpoints in each failure domain.
 const ENDPOINTS: usize = 2;
 
 fn domain(n: usize) -> DomainId {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lists a peer, and endpoints in two failure domains.
+/// Returns a VM list of a peer and of endpoints in two failure domains.
 fn vms() -> Vec<VmEntry> {
     let role = [("role", "router"), ("peer", "127.0.0.1:8101")];
     let endpoints = (0..2 * ENDPOINTS).map(|n| VmEntry {
@@ -48,32 +48,32 @@
     site.handle(Event::DrainedDomains(drained(as_of, domains)));
 }
 
-/// Returns the failure domain in which a request last ran, if it ran.
+/// Returns the failure domain of a request's last run, if any.
 fn ran_in(site: &Site, id: RequestId) -> Option<usize> {
     let run = site.runs(id).pop()?;
     let number = run.endpoint.as_str().strip_prefix("endpoint-")?;
     Some(number.parse::<usize>().ok()? / ENDPOINTS)
 }
 
-/// Sends requests, and returns in which failure domains they run.
+/// Sends requests and returns the failure domain in which each runs.
 fn send_requests(site: &mut Site, count: usize) -> Vec<Option<usize>> {
     let ids: Vec<_> = (0..count).map(|_| site.send("stream", 10, 5)).collect();
     ids.into_iter().map(|id| ran_in(site, id)).collect()
 }
 
-/// Guards against requests that go to a failure domain which the operator has drained.
+/// Guards against new requests in a failure domain that an operator has drained.
 #[test]
 fn no_new_request_goes_to_a_drained_domain() {
     let mut site = site();
     drain(&mut site, 5, &[0]);
     assert!(send_requests(&mut site, 12).iter().all(|at| *at == Some(1)));
-    // Some of its endpoints are listed anew.
+    // The VM list is delivered again.
     let list = site.core.members.roster.list().clone();
     site.handle(Event::VmList(list));
     assert!(send_requests(&mut site, 2).iter().all(|at| *at == Some(1)));
 }
 
-/// Guards against a retry that goes where nothing new may go.
+/// Guards against a retry that is sent to a drained failure domain.
 #[test]
 fn a_retry_avoids_a_drained_domain() {
     let mut site = site();
@@ -85,14 +85,14 @@
     assert_eq!(ran_in(&site, id), Some(1));
 }
 
-/// Guards against a request that waits for the end of a drain until its deadline.
+/// Guards against requests that wait until their deadline for the end of a drain.
 #[test]
 fn a_fully_drained_pool_refuses_at_once() {
     let mut site = site();
     drain(&mut site, 5, &[1]);
     let mut ids: Vec<_> = (0..30).map(|_| site.send("stream", 10, 5)).collect();
     ids.retain(|id| site.runs(*id).is_empty());
-    assert!(!ids.is_empty(), "some wait for room");
+    assert!(!ids.is_empty(), "some wait for capacity");
     drain(&mut site, 6, &[0, 1]);
     ids.push(site.send("stream", 10, 5));
     for id in ids {
@@ -102,7 +102,7 @@
     }
 }
 
-/// Guards against a router that is parted from the store and goes on with a drained failure domain.
+/// Guards against a router that is cut off from the store and keeps using a drained failure domain.
 #[test]
 fn drained_domains_are_learned_from_peers() {
     let mut site = site();
@@ -113,7 +113,7 @@
     site.handle(Event::Heard(beat));
     assert!(send_requests(&mut site, 4).iter().all(|at| *at == Some(1)));
     assert_eq!(site.core.heartbeat(site.now).drained, drained(5, &[0]));
-    // An older word, from a peer that does not know yet, changes nothing.
+    // An older update, from a peer that has not learned of the drain yet, has no effect.
     let beat = Heartbeat {
         drained: drained(4, &[]),
         ..site.peer_heartbeat(0)
@@ -122,7 +122,7 @@
     assert!(send_requests(&mut site, 4).iter().all(|at| *at == Some(1)));
 }
 
-/// Guards against endpoints that come back idle and cold, and get all at once what they bear when warm.
+/// Guards against endpoints that return idle and cold and immediately get the full load of warm ones.
 #[test]
 fn a_restored_domain_is_cold() {
     let mut site = site();
@@ -132,13 +132,13 @@
         let ran = send_requests(site, 4 * COLD_RATE as usize);
         ran.iter().flatten().count()
     };
-    // Two routers share what each of its endpoints bears.
+    // Two routers share the cold limit of each endpoint.
     assert_eq!(served(&mut site), ENDPOINTS * COLD_RATE as usize / 2);
     site.advance(WARMUP.as_millis() as u64 + 100);
     assert!(served(&mut site) > 0);
 }
 
-/// Guards against endpoints that are taken for cold though they say that they are warm, and the other way round.
+/// Guards against endpoints that are treated as cold although they report that they are warm, and vice versa.
 #[test]
 fn an_endpoint_is_as_cold_as_it_reports() {
     let mut site = site();
@@ -154,15 +154,15 @@
     assert_eq!(ran, ids.len());
 }
 
-/// Guards against reports from the store and from peers that come in another order than they were written, and leave an older
-/// set in force.
+/// Guards against an older set of drained domains that takes effect because updates from the store and from peers
+/// arrive out of order.
 #[test]
 fn the_newest_update_wins_in_any_order() {
     fn property(reports: Vec<(u8, bool)>) -> bool {
         let mut site = site();
         let mut newest = (0, false);
         for (as_of, drains) in reports {
-            // What was read up to one offset is the same for all.
+            // Updates with the same offset are identical.
             let drains = if as_of == newest.0 { newest.1 } else { drains };
             let domains: &[usize] = if drains { &[0] } else { &[] };
             drain(&mut site, u64::from(as_of), domains);
--- a/src/router/tests/fragmented.rs
+++ b/src/router/tests/fragmented.rs
@@ -1,10 +1,10 @@
-//! A budget whose last tokens lie scattered over the routers.
+//! A budget whose last tokens are spread over several routers.
 
 use crate::router::tests::bench::Bench;
 use crate::router::tests::bench::tuning;
 
-/// Two routers hold 87 tokens each, nothing is left to draw, and each has a caller whose request can cost 110. Were each to
-/// keep its part for its own caller, both would be refused though the team has 174 left.
+/// Two routers hold 87 tokens each, nothing is left to draw, and each has a caller whose request may cost 110. If each
+/// kept its part for its own caller, both would be refused although the team has 174 left.
 #[test]
 fn one_of_two_routers_with_a_part_each_is_served() {
     let mut bench = Bench::unfunded(vec![tuning(0), tuning(1)]);
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Requests without a key, and the budgets that they are paid from.
+//! Requests without an idempotency key, and the budgets that pay for them.
 
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns what the router says of its team's budget.
+/// Returns a field of the team's budget from the state dump.
 fn budget_field(site: &Site, field: &str) -> u64 {
     let dump = site.core.funds.dump(site.now);
     dump["teams"][0][field].as_u64().expect("a number")
@@ -47,7 +47,8 @@
     assert_eq!(budget_field(&site, "spent_here"), 121);
 }
 
-/// Returns what a request of a hundred tokens and at most fifty uses whose run ends so.
+/// Returns how many tokens a request with a prompt of 100 tokens and an answer of at most 50 is charged if its run ends
+/// with `end`.
 fn tokens_used(route: &str, end: RunEnd) -> u64 {
     let mut site = Site::start(10_000);
     let id = site.send(route, 100, 50);
@@ -60,8 +61,8 @@
     RunEnd::Answered { status, body: None }
 }
 
-/// An endpoint dies, or a caller leaves, before there is anything of an answer. The team was given nothing; charged for the
-/// prompts, it would be refused with a budget that it has not used.
+/// An endpoint fails or a caller disconnects before there is any output. If prompts were charged in this case, the team
+/// would be refused although it has not used its budget.
 #[test]
 fn a_run_without_output_is_not_charged() {
     assert_eq!(tokens_used("once", broken_run(false)), 0);
@@ -69,7 +70,7 @@
     assert_eq!(tokens_used("once", answered(500)), 0);
 }
 
-/// A caller leaves in the middle of a stream. What it was given is used, and so is the prompt.
+/// A caller disconnects in the middle of a stream. The output it received and the prompt are charged.
 #[test]
 fn an_abandoned_stream_is_charged_for_prompt_and_output() {
     let usage = Usage {
@@ -82,15 +83,15 @@
     );
 }
 
-/// A completion that does not come as a stream does not tell how long it is. Counted as nothing, a team would be given more
-/// than it prepaid.
+/// A completion that is not streamed does not report its length. If it were counted as zero, a team would be served
+/// more than it prepaid.
 #[test]
 fn an_answer_of_unknown_length_is_charged_its_maximum() {
     assert_eq!(tokens_used("again", answered(200)), 150);
 }
 
-/// A team has used up its budget. Its caller is told so at once, and is served again after a top-up; it never gets more
-/// than was prepaid.
+/// A team has used up its budget. Its caller is refused at once and served again after a top-up; the team is never
+/// served more than it prepaid.
 #[test]
 fn a_spent_budget_is_reported_at_once() {
     let mut site = Site::start(1000);
@@ -110,8 +111,8 @@
     assert!(budget_field(&site, "granted_here") <= 2000);
 }
 
-/// All routers are cut off from the log, and a team's callers keep to one of them. Without a loan they would be refused
-/// though another router holds plenty of the team's budget.
+/// All routers are cut off from the log, and a team's callers use only one of them. Without a loan they would be
+/// refused although another router holds plenty of the team's budget.
 #[test]
 fn budget_is_borrowed_in_a_log_outage() {
     let mut site = Site::start(1_000_000);
@@ -124,15 +125,15 @@
         Effect::Borrow(ask, _) => Some(ask.clone()),
         _ => None,
     });
-    let ask = ask.expect("it asks the other router");
-    assert!(site.refusal(id).is_none(), "it waits for the answer");
+    let ask = ask.expect("it requests a loan from the other router");
+    assert!(site.refusal(id).is_none(), "the request waits for the loan");
     site.handle(Event::Lent(ask, Some(Tokens(300_000))));
     site.advance(20);
     assert_eq!(site.runs(id).len(), 1);
 }
 
-/// The same, and no other router has anything. The caller is not held: it is told that the request did not run, and when
-/// to come back.
+/// The log is down and no other router has budget to lend. The caller does not wait: the refusal says that the request
+/// did not run and when to retry.
 #[test]
 fn a_log_outage_without_lenders_is_reported_at_once() {
     let mut site = Site::start(1_000_000);
@@ -148,8 +149,8 @@
     assert!(problem.retry.is_some());
 }
 
-/// Asks as many callers do: urgent requests of a hundred tokens and others of a thousand, ten of each in a second, which
-/// all end as soon as they run.
+/// Sends ten urgent requests of 100 tokens and ten others of 1,000 per second, each of which ends as soon as it runs.
+/// Returns the pairs of an urgent and another request.
 fn send_mixed_load(site: &mut Site, seconds: u64) -> Vec<(RequestId, RequestId)> {
     let mut sent = Vec::new();
     let mut open = Vec::new();
@@ -165,7 +166,7 @@
     sent
 }
 
-/// Ends the requests that run, and forgets those that were refused.
+/// Ends the open requests that run, and removes those that were refused.
 fn finish_runs(site: &mut Site, open: &mut Vec<RequestId>) {
     for id in std::mem::take(open) {
         match (site.runs(id).is_empty(), site.refusal(id)) {
@@ -176,9 +177,9 @@
     }
 }
 
-/// The log has not answered for a while, and what the router holds does not last until the end of the cut. The less urgent
-/// caller is told so within half a second, in which its part may yet open, and the urgent one is served; paid in order, both
-/// would be refused a second later.
+/// The log has not answered for a while, and the router's budget will not last until the end of the outage. The less
+/// urgent caller is refused within half a second, during which budget may still become free for it, and the urgent one
+/// is served. Without priorities both would be refused a second later.
 #[test]
 fn budget_is_kept_for_urgent_requests_in_a_log_outage() {
     let mut site = Site::start(110_000);
@@ -197,8 +198,8 @@
     }
 }
 
-/// All routers lost their power, and most of a team's budget is what they might have spent. For hours no large request could
-/// be paid any more, and the small urgent ones would run dry with them.
+/// All routers lost power, and most of a team's budget is held back because they may have spent it. Large requests
+/// could not be paid for hours, and without this reserve they would use up the budget of the small urgent ones too.
 #[test]
 fn budget_held_by_dead_routers_leaves_the_rest_to_urgent_requests() {
     let mut site = Site::start(100_000);
@@ -213,8 +214,8 @@
     );
 }
 
-/// A team uses its budget up, and no other router has any of it. What is left goes to whoever asks, to the last request
-/// that it covers: kept back, it would serve nobody.
+/// A team uses up its budget, and no other router holds any of it. The remainder serves requests of any priority, down
+/// to the last one that it covers; a reserve would go unused.
 #[test]
 fn a_budget_is_used_up_completely() {
     let mut site = Site::start(30_000);
@@ -222,7 +223,7 @@
     assert!(budget_field(&site, "spent_here") > 29_000);
 }
 
-/// Has a router that died be granted so much of the budget.
+/// Adds a grant of the team's budget to a router that is dead.
 fn grant_to_dead_router(site: &mut Site, granted: u64) {
     let key = GrantKey {
         vm: "router-9".parse().expect("a name"),
@@ -242,9 +243,9 @@
     }));
 }
 
-/// A lender counts what it lends when it is asked; its answer is lost, and so is the second one a moment later, as where its VM
-/// is busy or cut off. What was lent would be lost to the team: on large fleets, parts of budgets that callers had prepaid.
-/// Once the lender answers again the borrower learns what it was lent.
+/// A lender counts a loan as lent when it receives the request; its answer is lost, and so is the answer to the retry,
+/// as happens when its VM is overloaded or disconnected. The loan would be lost to the team, which on large fleets cost
+/// parts of prepaid budgets. The borrower repeats the request once the lender responds again, and learns the loan.
 #[test]
 fn what_was_lent_without_an_answer_is_asked_for_again() {
     let mut site = Site::start(1_000_000);
@@ -255,27 +256,34 @@
     site.receive_peer_heartbeat(500_000);
     let first = loan_requests(&site)
         .pop()
-        .expect("it asks the other router");
+        .expect("it requests a loan from the other router");
     site.handle(Event::Lent(first.clone(), None));
     site.effects.clear();
     site.advance(1500);
-    assert!(loan_requests(&site).is_empty(), "it was not heard of yet");
+    assert!(
+        loan_requests(&site).is_empty(),
+        "the lender has not responded yet"
+    );
     site.receive_peer_heartbeat(0);
     site.advance(1500);
     let again = loan_requests(&site);
     let again = again.iter().find(|ask| ask.number == first.number);
-    let again = again.expect("it asks again");
+    let again = again.expect("it repeats the loan request");
     assert_eq!(
         again.amount,
         Tokens::ZERO,
-        "a lender that never heard of it keeps its own"
+        "a lender that never got the request lends nothing"
     );
     site.handle(Event::Lent(first.clone(), Some(Tokens(300_000))));
     site.handle(Event::Lent(first, Some(Tokens(300_000))));
-    assert_eq!(budget_field(&site, "borrowed"), 300_000, "it counts once");
+    assert_eq!(
+        budget_field(&site, "borrowed"),
+        300_000,
+        "the loan counts once"
+    );
 }
 
-/// Returns the questions for loans.
+/// Returns the loan requests that were sent.
 fn loan_requests(site: &Site) -> Vec<LoanAsk> {
     let requests = site.effects.iter().filter_map(|effect| match effect {
         Effect::Borrow(ask, _) => Some(ask.clone()),
@@ -284,8 +292,8 @@
     requests.collect()
 }
 
-/// The answer to a question for a loan is lost, and the question is sent again. Both routers count the loan once, or the
-/// team would be served more than it prepaid.
+/// The answer to a loan request is lost, and the request is sent again. Both routers count the loan once, or the team
+/// would be served more than it prepaid.
 #[test]
 fn a_loan_counts_once() {
     let mut site = Site::start(1_000_000);
@@ -321,8 +329,8 @@
     assert_eq!(after - before, Tokens(500));
 }
 
-/// A service's connection breaks after a disbursement was sent. Nobody knows whether it took effect, so that the caller
-/// must not be told that it did not run, and it goes to no other endpoint.
+/// A service's connection breaks after a disbursement was sent. Whether it took effect is unknown, so the caller must
+/// not be told that it did not run, and it is not sent to another endpoint.
 #[test]
 fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut site = Site::start(1000);
@@ -333,7 +341,8 @@
     assert_eq!(site.runs(id).len(), 1);
 }
 
-/// An endpoint has no room and says that it did not run the request. Another one gets it, though it may run only once.
+/// An endpoint has no capacity and reports that it did not run the request. The request is sent to another endpoint
+/// even if its route allows it to run only once.
 #[test]
 fn a_request_that_did_not_run_is_retried_on_another_endpoint() {
     let mut site = Site::start(1000);
@@ -344,7 +353,8 @@
     assert_ne!(runs[0].endpoint, runs[1].endpoint);
 }
 
-/// An endpoint dies in the middle of a stream. Another one goes on with it, but no more endpoints than the route allows.
+/// An endpoint fails in the middle of a stream. Another one resumes it, up to the number of attempts that the route
+/// allows.
 #[test]
 fn a_stream_resumes_on_another_endpoint() {
     let mut site = Site::start(10_000);
@@ -362,8 +372,8 @@
     );
 }
 
-/// An endpoint takes a request and says nothing more. The caller has its answer from another one long before its time is
-/// over.
+/// An endpoint accepts a request and sends nothing more. The request moves to another endpoint long before the route's
+/// timeout.
 #[test]
 fn a_silent_endpoint_is_abandoned() {
     let mut site = Site::start(1000);
@@ -375,7 +385,7 @@
     assert_eq!(site.runs(id).len(), 2);
 }
 
-/// A run takes longer than its route allows. The caller has its final answer at that time, once.
+/// A run takes longer than its route's timeout. The caller gets the final answer at that time, exactly once.
 #[test]
 fn a_route_timeout_is_enforced() {
     let mut site = Site::start(1000);
@@ -392,8 +402,8 @@
     );
 }
 
-/// A router is told to stop while callers still keep its address. It serves them for as long as they may, and ends when
-/// nothing is in progress and what it did not spend went back.
+/// A router is drained while callers still have its address cached. It serves them for as long as the address is valid,
+/// and exits once no request is in progress and its unspent budget is returned.
 #[test]
 fn a_draining_router_serves_callers_that_still_use_it() {
     let mut site = Site::start(10_000);
@@ -418,8 +428,8 @@
     );
 }
 
-/// A router stops while it is cut off from the log. What it did not spend goes to another router, which would else refuse
-/// the team's callers.
+/// A router drains while it is cut off from the log. It transfers its unspent budget to another router, which would
+/// otherwise refuse the team's callers.
 #[test]
 fn a_router_draining_in_a_log_outage_transfers_its_budget() {
     let mut site = Site::start(1_000_000);
@@ -440,8 +450,8 @@
     assert!(given);
 }
 
-/// A request comes to a router that is about to end. One that is over before that is served; one that may last longer would
-/// be cut off, and is told at once to go elsewhere.
+/// Requests arrive at a router that is about to exit. One that ends in time is served; one that may take longer would
+/// be cut off, and is refused at once so that the caller goes to another router.
 #[test]
 fn what_would_be_cut_off_goes_elsewhere() {
     let mut site = Site::start(10_000);
--- a/src/router/tests/ledger_budget.rs
+++ b/src/router/tests/ledger_budget.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of what a router may still reserve.
+//! The arithmetic of [`LedgerBudget`]: what a router may still reserve.
 
 use quickcheck::quickcheck;
 
@@ -6,8 +6,8 @@
 use crate::tokens::Tokens;
 
 quickcheck! {
-    /// Promises and credits come and go in any order; what is left when all have gone is what the ledger says, and in
-    /// between it is never more than the ledger's word and the credits together.
+    /// Debits and credits begin and end in any order. In between, the available amount never exceeds the ledger's
+    /// amount plus the credits; once all have ended it equals the ledger's amount.
     fn ended_debits_and_credits_cancel_out(free: u32, steps: Vec<(bool, u16)>) -> bool {
         let free = Tokens(u64::from(free));
         let mut budget = LedgerBudget::default();
--- a/src/router/tests/mod.rs
+++ b/src/router/tests/mod.rs
@@ -1,8 +1,8 @@
-//! Tests of the core as plain values: events in, effects out, and a log in memory that feeds what was appended back.
+//! Tests of the core without I/O: events in, effects out, and an in-memory log that returns appended records.
 
 #![expect(
     clippy::disallowed_methods,
-    reason = "a test takes the moment at which it starts from the system"
+    reason = "a test reads its start time from the system clock"
 )]
 
 mod behind;
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -14,7 +14,7 @@
 use crate::router::tests::bench::tuning;
 use crate::settings::EndMarker;
 
-/// Brings up two cores that hold budget, of which the first has noticed that the log is down.
+/// Starts two cores that hold budget, the first of which has detected that the log is down.
 fn start_in_outage(change: impl Fn(Tuning) -> Tuning) -> Bench {
     let mut bench = Bench::tuned(vec![change(tuning(0)), change(tuning(1))]);
     for at in 0..2 {
@@ -24,7 +24,7 @@
     }
     bench.pass(2000);
     bench.log = Log::Down;
-    // What meets the outage first waits until it counts as one.
+    // The first request waits until the outage is detected.
     let ask = bench.chat("first", 1);
     bench.arrive(0, &ask);
     bench.pass(800);
@@ -32,8 +32,8 @@
     bench
 }
 
-/// The log is down for a while. A caller's completion is served all the same: another router keeps its claim and then its
-/// bill, so that neither is lost with this router, and the caller gets its whole answer before the log is back.
+/// The log is down for a while. A completion is still served: a peer keeps its claim and then its bill, so that neither
+/// is lost if this router fails, and the caller gets the complete answer before the log is back.
 #[test]
 fn a_completion_is_served_whole_while_a_peer_keeps_its_records() {
     let mut bench = start_in_outage(|tuning| tuning);
@@ -65,8 +65,8 @@
     assert_eq!(bench.bill("o2"), Some(23));
 }
 
-/// A call that may not be repeated could be claimed by another router that reaches the log. It is refused, and nothing of
-/// it runs later.
+/// A call that may not be repeated could also be claimed by another router that reaches the log. It is refused, and
+/// does not run later.
 #[test]
 fn a_call_that_may_not_be_repeated_is_refused() {
     let mut bench = start_in_outage(|tuning| tuning);
@@ -78,7 +78,7 @@
         (refusal.kind, refusal.ran),
         (ProblemKind::LogOutage, Ran::No)
     );
-    // Without the caller's word that it is the first try, nothing proves it.
+    // The caller does not state that this is the first attempt, so nothing proves that it did not run.
     let again = bench.call("o3", 2);
     let again = bench.arrive(0, &again);
     bench.pass(100);
@@ -92,8 +92,8 @@
     assert!(bench.nodes[0].runs(id).is_empty() && bench.nodes[0].runs(again).is_empty());
 }
 
-/// The router hears no other in the outage. Nobody would keep its records, so the end of no answer could go out: it
-/// refuses rather than spend tokens on it.
+/// The router has no contact with any peer in the outage. No peer would keep its records, so no answer could be
+/// completed: it refuses requests instead of spending tokens on them.
 #[test]
 fn a_completion_is_refused_without_a_peer() {
     for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
@@ -114,8 +114,8 @@
     }
 }
 
-/// More is asked for in the outage than the router holds. It can't draw, and refuses; what it serves stays within what it
-/// holds.
+/// Demand in the outage exceeds the budget that the router holds. It cannot draw, so it serves no more than it holds
+/// and refuses the rest.
 #[test]
 fn no_more_is_served_than_is_held() {
     let mut bench = start_in_outage(|tuning| tuning);
@@ -133,7 +133,7 @@
     bench.pass(3000);
     bench.end_all(0);
     let served = bench.nodes[0].dispatches() - before;
-    // Each reserved 110 tokens and gave back what it did not use, 87 of them.
+    // Each reserved 110 tokens and released the 87 that it did not use.
     assert!(served > 256, "{served} were served out of {held}");
     assert!(served * 23 <= held, "{served} of 23 out of {held}");
     let last = bench.chat("last", 1);
@@ -146,11 +146,15 @@
     bench.log = Log::Up;
     bench.pass(5000);
     let all = bench.nodes[0].dispatches() + bench.nodes[1].dispatches();
-    assert_eq!(bench.spent(), all * 23, "each that was served is billed");
+    assert_eq!(
+        bench.spent(),
+        all * 23,
+        "each request that was served is billed"
+    );
 }
 
-/// The router dies in the outage with bills that only its peer keeps. When the log is back the peer appends them before it
-/// closes the dead one, so that what callers had is billed.
+/// The router fails in the outage with bills that only its peer keeps. When the log is back, the peer appends them
+/// before it closes the failed router, so that the answers that callers received are billed.
 #[test]
 fn a_dead_routers_bills_are_brought_by_its_peer() {
     let mut bench = start_in_outage(|tuning| tuning);
@@ -171,9 +175,9 @@
     assert_eq!(bench.bill("o5"), Some(23));
 }
 
-/// The log is down for long, and a router leaves each record with its peers. Were all that waits sent again with each
-/// record, an hour's outage would fill the network between the routers, and callers would wait for the ends of their
-/// answers ever longer.
+/// The log is down for long, and a router replicates each record to its peers. If all pending records were sent again
+/// with each new one, an outage of an hour would saturate the network between the routers, and callers would wait
+/// longer and longer for the end of their answers.
 #[test]
 fn replicated_records_are_not_resent() {
     const REQUESTS: usize = 600;
@@ -195,8 +199,8 @@
     }
 }
 
-/// A router begins anew in the middle of an outage, and a peer goes on leaving it only what is new. Batches behind a gap
-/// would count for nothing when the peer is dead, so it says that it lacks those before, and gets all.
+/// A router restarts in the middle of an outage, and a peer continues to send it only new batches. Batches after a gap
+/// could not be used if the peer failed, so the router reports that it lacks the earlier ones, and gets all.
 #[test]
 fn batches_after_a_gap_are_not_kept() {
     let bench = start_in_outage(|tuning| tuning);
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Budgets that a few routers keep for a large fleet.
+//! Budgets of which a few routers are the owners in a large fleet.
 
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
@@ -21,10 +21,10 @@
 use crate::tokens::Tokens;
 use crate::vms::VmEntry;
 
-/// How many other routers there are: more than a fleet in which all keep all budgets.
+/// The number of other routers: more than in a fleet in which every router is an owner of all budgets.
 const PEER_COUNT: usize = 40;
 
-/// Lists two endpoints and many routers.
+/// Returns a VM list of two endpoints and many routers.
 fn fleet() -> Vec<VmEntry> {
     let engines = ["engine-0", "engine-1"];
     let engines = engines.map(|name| entry(name, 9100, &[("pool", "pool")]));
@@ -36,19 +36,19 @@
     engines.into_iter().chain(routers).collect()
 }
 
-/// Brings up a router for which others keep the budget.
+/// Starts a router that is not an owner of the team's budget.
 fn borrower() -> Site {
     let mut site = Site::start_with_vms(1_000_000, fleet());
     site.effects.clear();
     site
 }
 
-/// Brings up a router that keeps the budget for others: it is by far the largest, and alone in its failure domain.
+/// Starts an owner of the team's budget: it is by far the largest router, and alone in its failure domain.
 fn owner() -> Site {
     owner_in_domain("domain-9")
 }
 
-/// Brings up a router that is large enough to keep some teams' budgets.
+/// Starts a router in a failure domain, large enough to be an owner of some teams' budgets.
 fn owner_in_domain(domain: &str) -> Site {
     let role = [
         ("role", "router"),
@@ -63,7 +63,7 @@
     site
 }
 
-/// Returns the questions for loans, and whom they went to.
+/// Returns the loan requests that were sent, with their recipients.
 fn loan_requests(site: &Site) -> Vec<(LoanAsk, Peer)> {
     let requests = site.effects.iter().filter_map(|effect| match effect {
         Effect::Borrow(ask, peer) => Some((ask.clone(), peer.clone())),
@@ -72,7 +72,7 @@
     requests.collect()
 }
 
-/// Returns how often the log was asked to change grants.
+/// Returns how many changes of grants were proposed to the log.
 fn proposals(site: &Site) -> usize {
     let proposals = site.effects.iter();
     proposals
@@ -88,7 +88,7 @@
     request_loan_with_priority(site, 0, number, id, amount);
 }
 
-/// The same for a request of a priority.
+/// Delivers a loan request from a borrower that needs it for a request of the given priority.
 fn request_loan_with_priority(site: &mut Site, priority: u8, number: u64, id: u64, amount: u64) {
     let ask = LoanAsk {
         borrower: Incarnation(99),
@@ -101,7 +101,7 @@
     site.handle(Event::LoanAsked(AdminId(id), ask));
 }
 
-/// Returns what a question for a loan was answered.
+/// Returns the answer to a loan request.
 fn loan_answer(site: &Site, id: u64) -> Option<u64> {
     site.effects.iter().find_map(|effect| match effect {
         Effect::Answer(AdminId(of), _, body) if *of == id => body.as_u64(),
@@ -109,30 +109,32 @@
     })
 }
 
-/// Two hundred routers are asked for forty teams' budgets. Were each to draw from the one partition what its next request
-/// needs, most of them would fail for the others' writes, and the first seconds of a day would pass in waiting.
+/// Two hundred routers serve forty teams. If each drew what its next request needs from the one partition, most draws
+/// would fail because of conflicting writes, and requests would wait for the first seconds of a day.
 #[test]
 fn a_router_that_is_no_owner_borrows_and_writes_nothing() {
     let mut site = borrower();
     let id = site.send("stream", 100, 50);
     let (ask, _) = loan_requests(&site)
         .pop()
-        .expect("an owner is asked at once");
+        .expect("a loan is requested from an owner at once");
     assert_eq!(ask.amount, Tokens(150));
     site.handle(Event::Lent(ask, Some(Tokens(150))));
     assert!(has_run(&site, id));
     assert_eq!(proposals(&site), 0);
 }
 
-/// The VM of an owner lost its power. The next one is asked, and as long as all three are silent the log: a caller must not
-/// be refused while the team has budget.
+/// The VM of an owner lost power. The router asks the next owner and, if all three are silent, draws from the log: a
+/// caller must not be refused while the team has budget.
 #[test]
 fn silent_owners_are_skipped() {
     let mut site = borrower();
     let id = site.send("stream", 100, 50);
     let mut addresses = Vec::new();
     for _ in 0..3 {
-        let (ask, peer) = loan_requests(&site).pop().expect("one is asked");
+        let (ask, peer) = loan_requests(&site)
+            .pop()
+            .expect("a loan is requested from the next owner");
         addresses.push(peer.address);
         site.handle(Event::Lent(ask, None));
     }
@@ -141,19 +143,21 @@
     site.advance(100);
     assert!(has_run(&site, id));
     assert_eq!(proposals(&site), 1);
-    // The next requests don't wait for the same silence.
+    // Later requests do not wait for the silent owners again.
     site.advance(4000);
     site.send("stream", 1000, 500_000);
     assert_eq!(loan_requests(&site).len(), 3);
 }
 
-/// A request reserves the most that it may use, and uses less. What is left over at each of two hundred routers would be
-/// seconds of the team's demand that nobody else can use.
+/// A request reserves its maximum and uses less. The remainders at two hundred routers would add up to seconds of the
+/// team's demand that no other router can use.
 #[test]
 fn unused_budget_is_transferred_to_an_owner() {
     let mut site = borrower();
     let id = site.send("stream", 100, 900);
-    let (ask, _) = loan_requests(&site).pop().expect("an owner is asked");
+    let (ask, _) = loan_requests(&site)
+        .pop()
+        .expect("a loan is requested from an owner");
     site.handle(Event::Lent(ask, Some(Tokens(1000))));
     let usage = Usage {
         prompt: Tokens::ZERO,
@@ -173,8 +177,8 @@
     assert_eq!(gifts[0].amount, Tokens(880));
 }
 
-/// An owner that holds too little draws it and answers then. The question comes a second time meanwhile, since its sender
-/// heard nothing: counted twice, the team would lose what was lent the second time.
+/// An owner that holds too little draws budget before it answers. Meanwhile the borrower, without an answer, repeats
+/// its request. If both were counted, the team would lose the second loan.
 #[test]
 fn an_owner_draws_for_borrowers_and_lends_once() {
     let mut site = owner();
@@ -187,8 +191,8 @@
     assert_eq!(dump["teams"][0]["lent"], 5000, "{dump}");
 }
 
-/// All routers are parted from the log. An owner that can't draw lends what it can before who asks has given up: the rest may
-/// lie at another owner, and a caller waits.
+/// All routers are cut off from the log. An owner that cannot draw lends what it has before the borrower's time-out:
+/// another owner may hold the rest, and a caller is waiting.
 #[test]
 fn an_owner_without_the_log_lends_what_it_can() {
     let mut site = owner();
@@ -203,8 +207,8 @@
     assert!(part, "{answer:?}");
 }
 
-/// Guards against a loan that its borrower never takes in: its question came twice, the second was refused while the first
-/// waited, and the first was lent with nobody left to take the answer.
+/// Guards against a loan that its borrower never receives: the loan request arrived twice, the second was refused while
+/// the first waited, and the first was then granted although the borrower no longer waited for the answer.
 #[test]
 fn all_loan_requests_with_one_number_get_one_answer() {
     let mut site = owner();
@@ -221,7 +225,7 @@
     assert_eq!(answers[0], answers[1]);
 }
 
-/// Guards against owners that ask each other, in circles, for what borrowers asked them for.
+/// Guards against owners that request from each other, in a cycle, what borrowers requested from them.
 #[test]
 fn an_owner_borrows_only_for_its_own_callers() {
     let mut site = owner();
@@ -235,32 +239,39 @@
     assert_eq!(loan_requests(&site).len(), 0);
     site.send("urgent", 800_000, 50);
     site.advance(100);
-    let (ask, _) = loan_requests(&site).pop().expect("its own caller waits");
+    let (ask, _) = loan_requests(&site)
+        .pop()
+        .expect("its own caller needs a loan");
     assert!(ask.amount <= Tokens(1_000_000), "{}", ask.amount);
 }
 
-/// Returns how much a router asks for with its second question, for a request of 1,000 tokens, where the first was answered
-/// after some milliseconds.
+/// Returns the amount of a router's second loan request, for a request of 1,000 tokens, if the first was answered after
+/// `round_trip_ms`.
 fn second_loan_amount(round_trip_ms: u64) -> u64 {
     let mut site = borrower();
     site.send("stream", 500, 500);
     site.advance(round_trip_ms);
-    let (ask, _) = loan_requests(&site).pop().expect("an owner is asked");
+    let (ask, _) = loan_requests(&site)
+        .pop()
+        .expect("a loan is requested from an owner");
     let amount = ask.amount;
     site.handle(Event::Lent(ask, Some(amount)));
     site.send("stream", 500, 500);
-    let (ask, _) = loan_requests(&site).pop().expect("an owner is asked");
+    let (ask, _) = loan_requests(&site)
+        .pop()
+        .expect("a loan is requested from an owner");
     ask.amount.0
 }
 
-/// Guards against a VM where each request waits for a loan of its own, though answers take hundreds of milliseconds there.
+/// Guards against a VM on which each request waits for its own loan although answers take hundreds of milliseconds.
 #[test]
 fn budget_is_borrowed_ahead_when_answers_are_slow() {
     assert_eq!(second_loan_amount(0), 1000);
     assert!(second_loan_amount(300) > 1300);
 }
 
-/// Guards against a busy VM all of whose requests wait for loans: while one is on its way, more is used up than it brings.
+/// Guards against a busy VM on which all requests wait for loans, because more is used during a round trip than one
+/// loan brings.
 #[test]
 fn budget_is_borrowed_before_it_runs_out() {
     let mut site = borrower();
@@ -280,7 +291,7 @@
         }
         site.advance(20);
         asked_at.resize(loan_requests(&site).len(), turn);
-        // Each question is answered after a fifth of a second.
+        // Each loan request is answered after a fifth of a second.
         while asked_at.get(answered).is_some_and(|at| turn >= at + 10) {
             let (ask, _) = loan_requests(&site)[answered].clone();
             answered += 1;
@@ -291,8 +302,8 @@
     assert!(waited <= 10, "{waited} of 100 wait");
 }
 
-/// Guards against a router that asks for loans of nothing, thousands a second, while a request waits behind what is kept for
-/// more urgent ones.
+/// Guards against a router that sends thousands of loan requests of zero tokens per second while a request waits
+/// because the budget is reserved for more urgent ones.
 #[test]
 fn nobody_is_asked_for_nothing() {
     let mut site = owner_in_domain("domain-0");
@@ -319,7 +330,7 @@
     assert!(has_run(&site, id));
 }
 
-/// Has a router serve many teams, and returns the key of one whose budget it keeps and of one whose budget others keep.
+/// Gives the router many teams, and returns the key of one whose budget it owns and of one whose budget others own.
 fn own_and_foreign_team(site: &mut Site) -> [String; 2] {
     let teams: Vec<_> = (0..40).map(|n| format!("team-{n}")).collect();
     let payers = teams.iter().map(|team| payer(team, team, 1_000_000));
@@ -330,7 +341,7 @@
     [own_teams, foreign].map(|teams| teams.first().expect("a team").clone())
 }
 
-/// Has another router say that plenty of a team's budget lies idle there.
+/// Delivers a heartbeat from another router that reports plenty of idle budget for a team.
 fn receive_owner_heartbeat(site: &mut Site, team: &str) {
     let word = PurseWord {
         team: team.parse().expect("a name"),
@@ -345,7 +356,7 @@
     site.handle(Event::Heard(beat));
 }
 
-/// Answers the newest question for a loan in full, and those that follow from that, up to a bound.
+/// Grants the newest loan request in full, and those that follow from it, up to a limit.
 fn answer_loan_requests(site: &mut Site) {
     let newest = loan_requests(site).len().saturating_sub(1);
     for at in newest..newest + 50 {
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -1,4 +1,4 @@
-//! A living router is closed by another that took it for dead.
+//! A live router is closed by another router that considered it dead, and restarts as a new incarnation.
 
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
@@ -17,7 +17,7 @@
 use crate::router::tests::bench::Log;
 use crate::tokens::Tokens;
 
-/// Writes what a third router, of which this test is the hand, appends to close the first one.
+/// Appends the records with which a third router closes the first one.
 fn append_close(bench: &mut Bench) {
     let closer = Incarnation(99);
     let open = Record::Open {
@@ -39,11 +39,14 @@
     append_close(bench);
     bench.pass(500);
     assert_ne!(bench.nodes[0].core.me, old);
-    assert!(bench.nodes[0].core.serving(), "it begins anew");
+    assert!(
+        bench.nodes[0].core.serving(),
+        "it restarts as a new incarnation"
+    );
 }
 
-/// A stream runs when its router is closed by error. What it used can't be billed any more, so its caller must see that
-/// the answer is not whole; sent again, it is served and billed once.
+/// A stream is running when its router is closed by mistake. Its usage can no longer be billed, so the caller must see
+/// that the answer is incomplete; the retry is served and billed once.
 #[test]
 fn a_running_stream_is_cut_and_its_retry_is_billed_once() {
     let mut bench = Bench::start(2);
@@ -56,7 +59,7 @@
         bench.nodes[0].refusal(id).map(|p| p.ran),
         Some(Ran::Unknown)
     );
-    // The engine's end comes all the same, and changes nothing.
+    // The engine still reports the end of the run, which has no effect.
     bench.whole(0, id);
     bench.pass(300);
     assert!(!bench.nodes[0].released(id));
@@ -70,8 +73,8 @@
     assert_eq!(bench.spent(), 23);
 }
 
-/// The same with a call that may not be repeated. The service has it, and nobody can tell the outcome; were the retry run,
-/// it would take effect twice.
+/// A call that may not be repeated is running when its router is closed. The service has received it and the outcome is
+/// unknown; if the retry ran, the call could take effect twice.
 #[test]
 fn a_running_call_stays_unknown() {
     let mut bench = Bench::start(2);
@@ -92,8 +95,8 @@
     }
 }
 
-/// The router is closed while a request waits for budget to be drawn, or while its claim is on its way. Nothing was sent to
-/// an endpoint, so it goes on under the new incarnation as if nothing had happened.
+/// The router is closed while a request waits for a draw, or while its claim is being appended. Nothing was sent to an
+/// endpoint, so the request continues under the new incarnation.
 #[test]
 fn requests_not_dispatched_are_claimed_again() {
     for (call, warm) in [(true, true), (true, false), (false, true), (false, false)] {
@@ -136,8 +139,8 @@
     }
 }
 
-/// A caller hung up while its claim was on its way, and the router is closed before the claim's verdict. Nobody waits for
-/// the request any more, and it must not stay in progress: its retry would wait for it.
+/// A caller disconnects while its claim is being appended, and the router is closed before the claim's verdict. The
+/// request must not stay in progress, because its retry would wait for it.
 #[test]
 fn an_abandoned_request_is_removed() {
     let mut bench = Bench::start(2);
@@ -157,8 +160,8 @@
     bench.dispatched(0, &retry);
 }
 
-/// A bill is on its way, and the close stands before it in the log. The whole answer but its end is with the caller; the
-/// end must not follow.
+/// A bill is being appended, and the close precedes it in the log. The caller has received the answer except for the
+/// end marker, which must not be sent.
 #[test]
 fn a_bill_after_the_close_cuts_its_answer() {
     let mut bench = Bench::start(2);
@@ -172,7 +175,7 @@
     assert_eq!(bench.spent(), 0);
 }
 
-/// A bill that stands before the close is as good as any.
+/// A bill that precedes the close in the log is valid.
 #[test]
 fn a_bill_before_the_close_counts() {
     let mut bench = Bench::start(2);
@@ -188,11 +191,11 @@
     assert_eq!(bench.spent(), 23);
 }
 
-/// The requests that wait, for an endpoint or for another attempt, are not touched by a close.
+/// A close does not affect requests that wait for an endpoint or for another attempt of the same request.
 #[test]
 fn waiting_requests_are_not_affected() {
     let mut bench = Bench::start(2);
-    // The account's and the endpoints' limits let some of these run and have others wait.
+    // Under the limits of the account and the endpoints, some of these run and others wait.
     let ids: Vec<RequestId> = (0..200)
         .map(|number| {
             let ask = bench.chat(&format!("w{number}"), 1);
@@ -212,7 +215,7 @@
     assert!(!waiting.is_empty());
     close_and_restart(&mut bench);
     assert!(bench.nodes[0].refusal(waiter).is_none());
-    // The cut ones left their places.
+    // The requests that were cut released their slots.
     bench.pass(500);
     assert!(waiting.iter().any(|id| bench.nodes[0].runs(*id).len() == 1));
     for id in waiting {
@@ -221,15 +224,15 @@
     }
 }
 
-/// A refusal's proof is on its way when the router is closed. It will not come, and the caller is not told what was not
-/// proved.
+/// The record that proves a refusal is being appended when the router is closed. It will not be folded, so the caller
+/// must not be told that the request did not run.
 #[test]
 fn a_refusal_without_proof_is_not_reported_as_not_run() {
     let mut bench = Bench::start(2);
     let mut ask = bench.chat("r6", 2);
     ask.patience = Some(std::time::Duration::from_millis(1));
     append_close(&mut bench);
-    // Its deadline passes at the first tick, before the close is read.
+    // Its deadline expires at the first tick, before the close is read.
     bench.log = Log::Down;
     let id = bench.arrive(0, &ask);
     bench.pass(10);
@@ -242,7 +245,8 @@
     );
 }
 
-/// A top-up was under way. It counts once by its name, so it is sent again, and the operator hears that it was applied.
+/// A top-up is being appended when the router is closed. Its id makes it idempotent, so it is sent again, and the
+/// operator is told that it was applied.
 #[test]
 fn a_top_up_is_sent_again() {
     let mut bench = Bench::start(2);
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -1,4 +1,4 @@
-//! A router that lives by grants, with a log, peers and endpoints that answer as a test says.
+//! Test fixture: one router that accounts by grants, with a simulated log, peers and endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,24 +49,25 @@
 
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(2000);
 pub(crate) const OBJECTIVE: Duration = Duration::from_millis(200);
-/// How many answers of the log one event may bring about, each of them being the ground for the next call.
+/// The maximum number of events, the first one and the log's answers, that are handled in a row; guards against a
+/// router that calls the log on each answer without end.
 const MAX_EVENTS: usize = 100;
 
-/// What time of day it is when a site starts, since the Unix epoch.
+/// The wall clock time at which a site starts, since the Unix epoch.
 pub(crate) const START_TIME: Duration = Duration::from_secs(1_800_000_000);
-/// How long an endpoint is cold, and how many requests a second it bears then.
+/// How long an endpoint is cold, and how many requests per second it can take during that time.
 pub(crate) const WARMUP: Duration = Duration::from_secs(3);
 pub(crate) const COLD_RATE: u32 = 4;
-/// How long the log's word that there is no newer configuration holds.
+/// How long the log's confirmation that there is no newer configuration is valid.
 pub(crate) const CONFIRM: Duration = Duration::from_millis(2500);
 pub(crate) const LINGER: Duration = Duration::from_millis(5500);
 
-/// How the log answers a proposal.
+/// Whether the log is reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Log {
-    /// It carries it out.
+    /// Proposals take effect and are answered.
     Up,
-    /// Nothing comes back, and nothing was done.
+    /// Proposals neither take effect nor are answered.
     Down,
 }
 
@@ -77,7 +78,7 @@
     pub(crate) log: Log,
     pub(crate) effects: Vec<Effect>,
     pub(crate) log_end: u64,
-    /// What the log holds of this router.
+    /// The grant rows in the log.
     pub(crate) rows: Vec<(Offset, GrantKey, GrantRow)>,
     next_id: u64,
 }
@@ -90,12 +91,12 @@
     text.parse().expect("a name")
 }
 
-/// A table with one route for each kind of repetition, and one payer.
+/// Returns a table with a route for each kind of repetition, an urgent one, and one payer.
 pub(crate) fn table(version: u64, prepaid: u64) -> Arc<RouteTable> {
     table_with_payers(version, vec![payer("loans", "key", prepaid)])
 }
 
-/// Returns a payer whose callers have a key.
+/// Returns a payer whose callers authenticate with `key`.
 pub(crate) fn payer(team: &str, key: &str, prepaid: u64) -> Payer {
     Payer {
         account: name(team),
@@ -106,7 +107,7 @@
     }
 }
 
-/// The same with other payers.
+/// Returns the same table with other payers.
 pub(crate) fn table_with_payers(version: u64, payers: Vec<Payer>) -> Arc<RouteTable> {
     let route = |prefix: &str, repeat, attempts| PathRoute {
         name: name(prefix),
@@ -160,7 +161,7 @@
     }
 }
 
-/// Returns the end of a run whose answer came whole and has so many tokens.
+/// Returns the end of a run whose answer is complete and has `answer` tokens.
 pub(crate) fn whole(answer: u64) -> RunEnd {
     let usage = Usage {
         prompt: Tokens::ZERO,
@@ -184,7 +185,7 @@
 }
 
 impl Site {
-    /// Brings up a router that serves; its team prepaid so much.
+    /// Starts a serving router whose team prepaid `prepaid` tokens.
     pub(crate) fn start(prepaid: u64) -> Self {
         let role = [("role", "router"), ("peer", "127.0.0.1:8101")];
         let vms = vec![
@@ -195,12 +196,12 @@
         Self::start_with_vms(prepaid, vms)
     }
 
-    /// Brings up a router that serves among these VMs; its team prepaid so much.
+    /// Starts a serving router with the given VM list.
     pub(crate) fn start_with_vms(prepaid: u64, vms: Vec<VmEntry>) -> Self {
         Self::start_with_clock_ahead(prepaid, vms, Duration::ZERO)
     }
 
-    /// Brings up a router whose VM's time of day is ahead of that of all others.
+    /// Starts a serving router whose VM's wall clock is `ahead` of all others.
     pub(crate) fn start_with_clock_ahead(prepaid: u64, vms: Vec<VmEntry>, ahead: Duration) -> Self {
         let now = Instant::now();
         let clock = boot_clock(1, START_TIME + ahead, now);
@@ -220,8 +221,8 @@
         site
     }
 
-    /// Has the router's VM lose its power and be back after a while, its time of day set right: a process that knows nothing
-    /// starts on it.
+    /// Simulates a power loss of the router's VM for `down`. The VM boots with a correct wall clock and starts a new
+    /// process without any state.
     pub(crate) fn power_cycle(&mut self, down: Duration) {
         let list = self.core.members.roster.list().clone();
         let table = self.core.table.clone().expect("a table");
@@ -233,18 +234,18 @@
         self.handle(Event::VmList(list));
     }
 
-    /// Returns what time of day it is.
+    /// Returns the true wall clock time.
     fn wall_clock(&self) -> Duration {
         START_TIME + (self.now - self.started)
     }
 
-    /// Tells the core something, and answers what it asks the log.
+    /// Passes an event to the core, and the log's answers to the calls that follow.
     pub(crate) fn handle(&mut self, event: Event) {
         let mut events = vec![event];
         let mut handled = 0;
         while let Some(event) = events.pop() {
             handled += 1;
-            assert!(handled <= MAX_EVENTS, "it calls the log without end");
+            assert!(handled <= MAX_EVENTS, "the core calls the log without end");
             for effect in self.core.handle(self.now, event) {
                 let answer = match &effect {
                     Effect::ProposeGrants(proposal) => Some(self.propose(proposal)),
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances the clock in ticks of 20 ms; while the log is up, each tick confirms the table.
     pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(20) {
             self.now += Duration::from_millis(20);
@@ -289,12 +290,12 @@
         }
     }
 
-    /// Sends a request for a route, whose prompt and answer have at most so many tokens.
+    /// Sends a request to a route, with at most `input` prompt tokens and `output` answer tokens.
     pub(crate) fn send(&mut self, route: &str, input: u64, output: u64) -> RequestId {
         self.send_as("key", route, input, output)
     }
 
-    /// The same for the payer whose key it is.
+    /// Sends a request as the payer that owns `key`.
     pub(crate) fn send_as(&mut self, key: &str, route: &str, input: u64, output: u64) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -318,7 +319,7 @@
         id
     }
 
-    /// Has so many other routers say that they live; each of their clocks is right.
+    /// Delivers a heartbeat from each of `count` other routers, whose clocks are correct.
     pub(crate) fn receive_heartbeats(&mut self, count: usize) {
         for number in 0..count {
             self.handle(Event::Heard(Heartbeat {
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Has the list show so many other routers.
+    /// Replaces the VM list with one of `count` other routers.
     pub(crate) fn list_peers(&mut self, count: usize) {
         let routers = (0..count).map(|n| {
             let peer = format!("127.0.0.1:{}", 20_000 + n);
@@ -348,13 +349,13 @@
         }));
     }
 
-    /// Has another router say that so much of the team's budget lies idle there.
+    /// Delivers a heartbeat from another router that reports `free` idle tokens of the team's budget.
     pub(crate) fn receive_peer_heartbeat(&mut self, free: u64) {
         let beat = self.peer_heartbeat(free);
         self.handle(Event::Heard(beat));
     }
 
-    /// Returns what another router says of itself: so much of the team's budget lies idle there.
+    /// Returns a heartbeat of another router that reports `free` idle tokens of the team's budget.
     pub(crate) fn peer_heartbeat(&self, free: u64) -> Heartbeat {
         Heartbeat {
             vm: name("router-1"),
@@ -373,7 +374,7 @@
         }
     }
 
-    /// Returns the runs of a request, in their order.
+    /// Returns the runs of a request in order.
     pub(crate) fn runs(&self, id: RequestId) -> Vec<&Run> {
         let runs = self.effects.iter().filter_map(|effect| match effect {
             Effect::Run(of, run) if *of == id => Some(&**run),
@@ -382,7 +383,7 @@
         runs.collect()
     }
 
-    /// Returns how a request was refused, or its answer broken off.
+    /// Returns the problem with which a request was refused or its answer cut off.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
         self.effects.iter().find_map(|effect| match effect {
             Effect::Refuse(of, problem) | Effect::Cut(of, problem) if *of == id => Some(&**problem),
--- a/src/router/tests/starved.rs
+++ b/src/router/tests/starved.rs
@@ -1,4 +1,4 @@
-//! Teams whose budgets run dry beside teams that have enough.
+//! Teams whose budgets are exhausted next to teams that have enough.
 
 use std::time::Duration;
 
@@ -18,19 +18,20 @@
 use crate::router::tests::site::whole;
 use crate::tokens::Tokens;
 
-/// How old a promise may be: twice the time between two reviews.
+/// The maximum age of a spend pace: twice the time between two reviews.
 const MAX_PACE_AGE: Duration = Duration::from_millis(600);
 
-/// The router's VM.
+/// The VM of the router under test.
 const VM: &str = "router-0";
 
-/// For how long a dry team's callers come.
+/// How long the callers of a team with an exhausted budget send requests.
 const LOAD_SECONDS: u64 = 4;
 
 /// What each team prepaid.
 const PREPAID: u64 = 1_000_000;
 
-/// Returns a router that serves two teams, of which others hold all but what this one drew for a while of their demand.
+/// Starts a router that serves two teams. Of the budgets of those in `dry`, other routers hold all except what this one
+/// drew for a short time of demand.
 fn start_starved(dry: &[&str]) -> Site {
     let mut site = Site::start(0);
     let payers = vec![
@@ -50,7 +51,7 @@
     site
 }
 
-/// Has other routers draw all of a team's budget that this one does not hold.
+/// Grants another router all of a team's budget that this one does not hold.
 fn draw_remainder_elsewhere(site: &mut Site, team: &str) {
     let own = newest_grant(site, team).granted;
     let key = GrantKey {
@@ -69,13 +70,13 @@
     site.handle(Event::Grants(GrantEvent::Read { rows, end }));
 }
 
-/// Returns how often this router's grant of a team's budget was written.
+/// Returns how many times this router's grant of a team's budget was written.
 fn grant_writes(site: &Site, team: &str) -> usize {
     let mine = |key: &GrantKey| key.team.as_str() == team && key.vm.as_str() == VM;
     site.rows.iter().filter(|(_, key, _)| mine(key)).count()
 }
 
-/// Returns this router's newest grant of a team's budget in the log.
+/// Returns this router's latest grant of a team's budget in the log.
 fn newest_grant(site: &Site, team: &str) -> GrantRow {
     let team: TeamId = team.parse().expect("a name");
     let mut rows = site.rows.iter().rev();
@@ -84,11 +85,11 @@
     *row
 }
 
-/// One team's budget lies elsewhere, and its callers come back again and again; as long as one of their requests waits for a
-/// loan, the router calls the log at each step, and each call put the next review off. Another team has enough. Its promises
-/// must be written anew all the same: at a loss of power what the last one left open counts as used, and the longer ago it was
-/// made, the more callers are refused afterwards who had prepaid. The lines `granted` of one router showed it: many a second
-/// about a dry team, and none for twelve seconds about another.
+/// One team's budget is held elsewhere and its callers keep retrying. While one of their requests waits for a loan, the
+/// router calls the log at each step, and each call used to postpone the next review. Another team has enough budget;
+/// its spend pace must still be renewed, because after a power loss all that the last pace allowed counts as used, and
+/// the older the pace, the more prepaid callers are refused. The fault showed in the `granted` log lines of one router:
+/// many per second for the exhausted team, and none for twelve seconds for another.
 #[test]
 fn a_dry_team_leaves_the_others_their_reviews() {
     let mut site = start_starved(&["loans"]);
@@ -105,10 +106,11 @@
     assert!(age <= MAX_PACE_AGE, "{age:?} old");
 }
 
-/// The callers of one dry team come back, and those of another stay away, whose rest goes back in ever smaller steps. Were a
-/// step of it taken with each look at the log for the first team, a fleet with a few dry teams would write a hundred times a
-/// second to one partition, each time on the condition that nobody else did. Routers on slow VMs would not get through for
-/// seconds, and lose what they hold of all teams with their power.
+/// The callers of one exhausted team keep retrying, and those of another send nothing, so that its remainder is
+/// returned in ever smaller steps. If each log access for the first team wrote such a step, a fleet with a few
+/// exhausted teams would make a hundred conditional writes per second to one partition, each of which fails if another
+/// router wrote first. Routers on slow VMs would not succeed for seconds, and would lose what they hold of all teams'
+/// budgets at a power loss.
 #[test]
 fn a_dry_team_has_little_written() {
     let mut site = start_starved(&["loans", "maps"]);
@@ -124,7 +126,7 @@
     assert!(writes <= max, "{writes} of at most {max} writes");
 }
 
-/// Guards against callers elsewhere who wait a whole review for what lies idle here.
+/// Guards against callers at other routers that wait until the next review for budget that is idle here.
 #[test]
 fn budget_that_others_demand_is_returned_before_the_next_review() {
     let mut site = start_starved(&["loans"]);
