--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Requests without a key, and the budgets that they are paid from.
+//! Requests without an idempotency key, and the budgets that pay for them.
 
 use crate::escrow::GrantKey;
 use crate::escrow::GrantRow;
@@ -22,7 +22,7 @@
 use crate::router::tests::site::whole;
 use crate::tokens::Tokens;
 
-fn broken(answer_begun: bool) -> RunEnd {
+fn broken_run(answer_begun: bool) -> RunEnd {
     RunEnd::Failed {
         usage: None,
         answer_begun,
@@ -30,116 +30,117 @@
     }
 }
 
-/// Returns what the router says of its team's budget.
-fn budget(site: &Site, field: &str) -> u64 {
+/// Returns a field of the team's budget from the state dump.
+fn budget_field(site: &Site, field: &str) -> u64 {
     let dump = site.core.grant_budgets.dump(site.now);
     dump["teams"][0][field].as_u64().expect("a number")
 }
 
 #[test]
-fn what_was_used_is_spent_and_the_rest_comes_back() {
+fn used_tokens_are_spent_and_the_remainder_is_released() {
     let mut site = Site::start(10_000);
-    let id = site.ask("stream", 100, 50);
+    let id = site.send("stream", 100, 50);
     assert_eq!(site.runs(id).len(), 1);
-    assert_eq!(budget(&site, "reserved_here"), 150);
-    site.tell(Event::RunEnded(id, whole(21)));
-    assert_eq!(budget(&site, "reserved_here"), 0);
-    assert_eq!(budget(&site, "spent_here"), 121);
+    assert_eq!(budget_field(&site, "reserved_here"), 150);
+    site.handle(Event::RunEnded(id, whole(21)));
+    assert_eq!(budget_field(&site, "reserved_here"), 0);
+    assert_eq!(budget_field(&site, "spent_here"), 121);
 }
 
-/// Returns what a request of a hundred tokens and at most fifty uses whose run ends so.
-fn used(route: &str, end: RunEnd) -> u64 {
+/// Returns how many tokens a request with a prompt of 100 tokens and an answer of at most 50 is charged if its run ends
+/// with `end`.
+fn tokens_used(route: &str, end: RunEnd) -> u64 {
     let mut site = Site::start(10_000);
-    let id = site.ask(route, 100, 50);
-    site.tell(Event::RunEnded(id, end));
-    assert_eq!(budget(&site, "reserved_here"), 0);
-    budget(&site, "spent_here")
+    let id = site.send(route, 100, 50);
+    site.handle(Event::RunEnded(id, end));
+    assert_eq!(budget_field(&site, "reserved_here"), 0);
+    budget_field(&site, "spent_here")
 }
 
 fn answered(status: u16) -> RunEnd {
     RunEnd::Answered { status, body: None }
 }
 
-/// An endpoint dies, or a caller leaves, before there is anything of an answer. The team was given nothing; charged for the
-/// prompts, it would be refused with a budget that it has not used.
+/// An endpoint fails or a caller disconnects before there is any output. If prompts were charged in this case, the team
+/// would be refused although it has not used its budget.
 #[test]
-fn a_run_of_which_nothing_came_uses_nothing() {
-    assert_eq!(used("once", broken(false)), 0);
-    assert_eq!(used("once", RunEnd::CallerGone { usage: None }), 0);
-    assert_eq!(used("once", answered(500)), 0);
+fn a_run_without_output_is_not_charged() {
+    assert_eq!(tokens_used("once", broken_run(false)), 0);
+    assert_eq!(tokens_used("once", RunEnd::CallerGone { usage: None }), 0);
+    assert_eq!(tokens_used("once", answered(500)), 0);
 }
 
-/// A caller leaves in the middle of a stream. What it was given is used, and so is the prompt.
+/// A caller disconnects in the middle of a stream. The output it received and the prompt are charged.
 #[test]
-fn a_stream_that_its_caller_left_uses_what_came() {
+fn an_abandoned_stream_is_charged_for_prompt_and_output() {
     let usage = Usage {
         prompt: Tokens::ZERO,
         answer: Tokens(14),
     };
     assert_eq!(
-        used("stream", RunEnd::CallerGone { usage: Some(usage) }),
+        tokens_used("stream", RunEnd::CallerGone { usage: Some(usage) }),
         114
     );
 }
 
-/// A completion that does not come as a stream does not tell how long it is. Counted as nothing, a team would be given more
-/// than it prepaid.
+/// A completion that is not streamed does not report its length. If it were counted as zero, a team would be served
+/// more than it prepaid.
 #[test]
-fn an_answer_of_unknown_length_uses_the_most() {
-    assert_eq!(used("again", answered(200)), 150);
+fn an_answer_of_unknown_length_is_charged_its_maximum() {
+    assert_eq!(tokens_used("again", answered(200)), 150);
 }
 
-/// A team has used up its budget. Its caller is told so at once, and is served again after a top-up; it never gets more
-/// than was prepaid.
+/// A team has used up its budget. Its caller is refused at once and served again after a top-up; the team is never
+/// served more than it prepaid.
 #[test]
-fn a_spent_budget_is_said_at_once() {
+fn a_spent_budget_is_reported_at_once() {
     let mut site = Site::start(1000);
-    let id = site.ask("stream", 900, 50);
-    site.tell(Event::RunEnded(id, whole(50)));
-    let id = site.ask("stream", 100, 50);
-    site.pass(40);
+    let id = site.send("stream", 900, 50);
+    site.handle(Event::RunEnded(id, whole(50)));
+    let id = site.send("stream", 100, 50);
+    site.advance(40);
     let problem = site.refusal(id).expect("it is refused");
     assert_eq!(
         (problem.kind, problem.ran),
         (ProblemKind::BudgetSpent, Ran::No)
     );
-    site.tell(Event::Table(table(2, 2000)));
-    let id = site.ask("stream", 100, 50);
-    site.pass(40);
+    site.handle(Event::Table(table(2, 2000)));
+    let id = site.send("stream", 100, 50);
+    site.advance(40);
     assert_eq!(site.runs(id).len(), 1);
-    assert!(budget(&site, "granted_here") <= 2000);
+    assert!(budget_field(&site, "granted_here") <= 2000);
 }
 
-/// All routers are cut off from the log, and a team's callers keep to one of them. Without a loan they would be refused
-/// though another router holds plenty of the team's budget.
+/// All routers are cut off from the log, and a team's callers use only one of them. Without a loan they would be
+/// refused although another router holds plenty of the team's budget.
 #[test]
-fn budget_is_borrowed_in_a_cut() {
+fn budget_is_borrowed_in_a_log_outage() {
     let mut site = Site::start(1_000_000);
-    site.log = Log::Away;
-    site.hear_peer(500_000);
-    let id = site.ask("stream", 300_000, 50);
-    site.pass(1500);
-    site.hear_peer(500_000);
+    site.log = Log::Down;
+    site.receive_peer_heartbeat(500_000);
+    let id = site.send("stream", 300_000, 50);
+    site.advance(1500);
+    site.receive_peer_heartbeat(500_000);
     let ask = site.effects.iter().find_map(|effect| match effect {
         Effect::RequestLoan(ask, _) => Some(ask.clone()),
         _ => None,
     });
-    let ask = ask.expect("it asks the other router");
-    assert!(site.refusal(id).is_none(), "it waits for the answer");
-    site.tell(Event::LoanAnswered(ask, Some(Tokens(300_000))));
-    site.pass(20);
+    let ask = ask.expect("it requests a loan from the other router");
+    assert!(site.refusal(id).is_none(), "the request waits for the loan");
+    site.handle(Event::LoanAnswered(ask, Some(Tokens(300_000))));
+    site.advance(20);
     assert_eq!(site.runs(id).len(), 1);
 }
 
-/// The same, and no other router has anything. The caller is not held: it is told that the request did not run, and when
-/// to come back.
+/// The log is down and no other router has budget to lend. The caller does not wait: the refusal says that the request
+/// did not run and when to retry.
 #[test]
-fn a_cut_without_lenders_is_said_at_once() {
+fn a_log_outage_without_lenders_is_reported_at_once() {
     let mut site = Site::start(1_000_000);
-    site.log = Log::Away;
-    site.pass(3000);
-    let id = site.ask("stream", 300_000, 50);
-    site.pass(500);
+    site.log = Log::Down;
+    site.advance(3000);
+    let id = site.send("stream", 300_000, 50);
+    site.advance(500);
     let problem = site.refusal(id).expect("it is refused");
     assert_eq!(
         (problem.kind, problem.ran),
@@ -148,51 +149,47 @@
     assert!(problem.retry.is_some());
 }
 
-/// Asks as many callers do: urgent requests of a hundred tokens and others of a thousand, ten of each in a second, which
-/// all end as soon as they run.
-fn ask_for(site: &mut Site, seconds: u64) -> Vec<(RequestId, RequestId)> {
-    let mut asked = Vec::new();
+/// Sends ten urgent requests of 100 tokens and ten others of 1,000 per second, each of which ends as soon as it runs.
+/// Returns the pairs of an urgent and another request.
+fn send_mixed_load(site: &mut Site, seconds: u64) -> Vec<(RequestId, RequestId)> {
+    let mut sent = Vec::new();
     let mut open = Vec::new();
     for _ in 0..seconds * 10 {
-        let urgent = site.ask("urgent", 93, 7);
-        let other = site.ask("stream", 993, 7);
+        let urgent = site.send("urgent", 93, 7);
+        let other = site.send("stream", 993, 7);
         open.extend([urgent, other]);
-        end_running(site, &mut open);
-        site.pass(100);
-        end_running(site, &mut open);
-        asked.push((urgent, other));
+        finish_runs(site, &mut open);
+        site.advance(100);
+        finish_runs(site, &mut open);
+        sent.push((urgent, other));
     }
-    asked
+    sent
 }
 
-/// Ends the requests that run, and forgets those that were refused.
-fn end_running(site: &mut Site, open: &mut Vec<RequestId>) {
+/// Ends the open requests that run, and removes those that were refused.
+fn finish_runs(site: &mut Site, open: &mut Vec<RequestId>) {
     for id in std::mem::take(open) {
         match (site.runs(id).is_empty(), site.refusal(id)) {
-            (false, _) => site.tell(Event::RunEnded(id, whole(7))),
+            (false, _) => site.handle(Event::RunEnded(id, whole(7))),
             (true, None) => open.push(id),
             (true, Some(_)) => {}
         }
     }
 }
 
-/// The log has not answered for a while, and what the router holds does not last until the end of the cut. The less urgent
-/// caller is told so within half a second, in which its part may yet open, and the urgent one is served; paid in order, both
-/// would be refused a second later.
+/// The log has not answered for a while, and the router's budget will not last until the end of the outage. The less
+/// urgent caller is refused within half a second, during which budget may still become free for it, and the urgent one
+/// is served. Without priorities both would be refused a second later.
 #[test]
-fn what_is_left_in_a_cut_is_kept_for_the_urgent() {
+fn budget_is_kept_for_urgent_requests_in_a_log_outage() {
     let mut site = Site::start(110_000);
-    ask_for(&mut site, 4);
-    site.log = Log::Away;
-    ask_for(&mut site, 4);
-    let asked = ask_for(&mut site, 1);
-    site.pass(500);
-    assert!(
-        asked
-            .iter()
-            .all(|(urgent, _)| site.runs(*urgent).len() == 1)
-    );
-    let others = asked.iter().map(|(_, other)| other);
+    send_mixed_load(&mut site, 4);
+    site.log = Log::Down;
+    send_mixed_load(&mut site, 4);
+    let sent = send_mixed_load(&mut site, 1);
+    site.advance(500);
+    assert!(sent.iter().all(|(urgent, _)| site.runs(*urgent).len() == 1));
+    let others = sent.iter().map(|(_, other)| other);
     let refused: Vec<_> = others.filter_map(|other| site.refusal(*other)).collect();
     assert!(refused.len() >= 5, "{} of ten were refused", refused.len());
     for problem in refused {
@@ -201,14 +198,14 @@
     }
 }
 
-/// All routers lost their power, and most of a team's budget is what they might have spent. For hours no large request could
-/// be paid any more, and the small urgent ones would run dry with them.
+/// All routers lost power, and most of a team's budget is held back because they may have spent it. Large requests
+/// could not be paid for hours, and without this reserve they would use up the budget of the small urgent ones too.
 #[test]
-fn what_dead_routers_left_is_kept_for_the_urgent() {
+fn budget_held_by_dead_routers_leaves_the_rest_to_urgent_requests() {
     let mut site = Site::start(100_000);
-    lose(&mut site, 90_000);
-    ask_for(&mut site, 2);
-    let (urgent, other) = ask_for(&mut site, 1)[9];
+    grant_to_dead_router(&mut site, 90_000);
+    send_mixed_load(&mut site, 2);
+    let (urgent, other) = send_mixed_load(&mut site, 1)[9];
     assert_eq!(site.runs(urgent).len(), 1);
     let problem = site.refusal(other).expect("it is refused");
     assert_eq!(
@@ -217,17 +214,17 @@
     );
 }
 
-/// A team uses its budget up, and no other router has any of it. What is left goes to whoever asks, to the last request
-/// that it covers: kept back, it would serve nobody.
+/// A team uses up its budget, and no other router holds any of it. The remainder serves requests of any priority, down
+/// to the last one that it covers; a reserve would go unused.
 #[test]
-fn a_budget_is_used_to_its_end() {
+fn a_budget_is_used_up_completely() {
     let mut site = Site::start(30_000);
-    ask_for(&mut site, 4);
-    assert!(budget(&site, "spent_here") > 29_000);
+    send_mixed_load(&mut site, 4);
+    assert!(budget_field(&site, "spent_here") > 29_000);
 }
 
-/// Has a router that died be granted so much of the budget.
-fn lose(site: &mut Site, granted: u64) {
+/// Adds a grant of the team's budget to a router that is dead.
+fn grant_to_dead_router(site: &mut Site, granted: u64) {
     let key = GrantKey {
         vm: "router-9".parse().expect("a name"),
         router: Incarnation(9),
@@ -238,62 +235,71 @@
         spent: Tokens::ZERO,
         pace: None,
     };
-    let at = Offset(site.end);
-    site.end += 1;
-    site.tell(Event::Grants(GrantEvent::Read {
+    let at = Offset(site.log_end);
+    site.log_end += 1;
+    site.handle(Event::Grants(GrantEvent::Read {
         rows: vec![(at, key, row)],
-        end: Offset(site.end),
+        end: Offset(site.log_end),
     }));
 }
 
-/// A lender counts what it lends when it is asked; its answer is lost, and so is the second one a moment later, as where its VM
-/// is busy or cut off. What was lent would be lost to the team: on large fleets, parts of budgets that callers had prepaid.
-/// Once the lender answers again the borrower learns what it was lent.
+/// A lender counts a loan as lent when it receives the request; its answer is lost, and so is the answer to the retry,
+/// as happens when its VM is overloaded or disconnected. The loan would be lost to the team, which on large fleets cost
+/// parts of prepaid budgets. The borrower repeats the request once the lender responds again, and learns the loan.
 #[test]
 fn what_was_lent_without_an_answer_is_asked_for_again() {
     let mut site = Site::start(1_000_000);
-    site.log = Log::Away;
-    site.hear_peer(500_000);
-    site.ask("stream", 300_000, 50);
-    site.pass(1500);
-    site.hear_peer(500_000);
-    let first = borrowed(&site).pop().expect("it asks the other router");
-    site.tell(Event::LoanAnswered(first.clone(), None));
+    site.log = Log::Down;
+    site.receive_peer_heartbeat(500_000);
+    site.send("stream", 300_000, 50);
+    site.advance(1500);
+    site.receive_peer_heartbeat(500_000);
+    let first = loan_requests(&site)
+        .pop()
+        .expect("it requests a loan from the other router");
+    site.handle(Event::LoanAnswered(first.clone(), None));
     site.effects.clear();
-    site.pass(1500);
-    assert!(borrowed(&site).is_empty(), "it was not heard of yet");
-    site.hear_peer(0);
-    site.pass(1500);
-    let again = borrowed(&site);
+    site.advance(1500);
+    assert!(
+        loan_requests(&site).is_empty(),
+        "the lender has not responded yet"
+    );
+    site.receive_peer_heartbeat(0);
+    site.advance(1500);
+    let again = loan_requests(&site);
     let again = again.iter().find(|ask| ask.number == first.number);
-    let again = again.expect("it asks again");
+    let again = again.expect("it repeats the loan request");
     assert_eq!(
         again.amount,
         Tokens::ZERO,
-        "a lender that never heard of it keeps its own"
+        "a lender that never got the request lends nothing"
+    );
+    site.handle(Event::LoanAnswered(first.clone(), Some(Tokens(300_000))));
+    site.handle(Event::LoanAnswered(first, Some(Tokens(300_000))));
+    assert_eq!(
+        budget_field(&site, "borrowed"),
+        300_000,
+        "the loan counts once"
     );
-    site.tell(Event::LoanAnswered(first.clone(), Some(Tokens(300_000))));
-    site.tell(Event::LoanAnswered(first, Some(Tokens(300_000))));
-    assert_eq!(budget(&site, "borrowed"), 300_000, "it counts once");
 }
 
-/// Returns the questions for loans.
-fn borrowed(site: &Site) -> Vec<LoanRequest> {
-    let asked = site.effects.iter().filter_map(|effect| match effect {
+/// Returns the loan requests that were sent.
+fn loan_requests(site: &Site) -> Vec<LoanRequest> {
+    let requests = site.effects.iter().filter_map(|effect| match effect {
         Effect::RequestLoan(ask, _) => Some(ask.clone()),
         _ => None,
     });
-    asked.collect()
+    requests.collect()
 }
 
-/// The answer to a question for a loan is lost, and the question is sent again. Both routers count the loan once, or the
-/// team would be served more than it prepaid.
+/// The answer to a loan request is lost, and the request is sent again. Both routers count the loan once, or the team
+/// would be served more than it prepaid.
 #[test]
 fn a_loan_counts_once() {
     let mut site = Site::start(1_000_000);
-    let id = site.ask("stream", 1000, 50);
-    site.tell(Event::RunEnded(id, whole(50)));
-    site.pass(3000);
+    let id = site.send("stream", 1000, 50);
+    site.handle(Event::RunEnded(id, whole(50)));
+    site.advance(3000);
     let ask = LoanRequest {
         borrower: Incarnation(99),
         number: 1,
@@ -323,62 +329,68 @@
     assert_eq!(after - before, Tokens(500));
 }
 
-/// A service's connection breaks after a disbursement was sent. Nobody knows whether it took effect, so that the caller
-/// must not be told that it did not run, and it goes to no other endpoint.
+/// A service's connection breaks after a disbursement was sent. Whether it took effect is unknown, so the caller must
+/// not be told that it did not run, and it is not sent to another endpoint.
 #[test]
-fn what_may_have_run_is_not_said_not_to_have() {
+fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut site = Site::start(1000);
-    let id = site.ask("once", 0, 0);
-    site.tell(Event::RunEnded(id, broken(false)));
+    let id = site.send("once", 0, 0);
+    site.handle(Event::RunEnded(id, broken_run(false)));
     let problem = site.refusal(id).expect("it fails");
     assert_eq!(problem.kind.status(), 502);
     assert_eq!(site.runs(id).len(), 1);
 }
 
-/// An endpoint has no room and says that it did not run the request. Another one gets it, though it may run only once.
+/// An endpoint has no capacity and reports that it did not run the request. The request is sent to another endpoint
+/// even if its route allows it to run only once.
 #[test]
-fn what_did_not_run_goes_elsewhere() {
+fn a_request_that_did_not_run_is_retried_on_another_endpoint() {
     let mut site = Site::start(1000);
-    let id = site.ask("once", 0, 0);
-    site.tell(Event::RunEnded(id, RunEnd::NotRun { retry: None }));
+    let id = site.send("once", 0, 0);
+    site.handle(Event::RunEnded(id, RunEnd::NotRun { retry: None }));
     let runs = site.runs(id);
     assert_eq!(runs.len(), 2);
     assert_ne!(runs[0].endpoint, runs[1].endpoint);
 }
 
-/// An endpoint dies in the middle of a stream. Another one goes on with it, but no more endpoints than the route allows.
+/// An endpoint fails in the middle of a stream. Another one resumes it, up to the number of attempts that the route
+/// allows.
 #[test]
-fn a_stream_goes_on_elsewhere() {
+fn a_stream_resumes_on_another_endpoint() {
     let mut site = Site::start(10_000);
-    let id = site.ask("stream", 100, 50);
-    site.tell(Event::RunEnded(id, broken(true)));
+    let id = site.send("stream", 100, 50);
+    site.handle(Event::RunEnded(id, broken_run(true)));
     assert_eq!(site.runs(id).len(), 2);
-    site.tell(Event::RunEnded(id, broken(true)));
+    site.handle(Event::RunEnded(id, broken_run(true)));
     assert_eq!(site.runs(id).len(), 2);
     let problem = site.refusal(id).expect("it is cut");
     assert_eq!(problem.kind, ProblemKind::EndpointFailed);
-    assert_eq!(budget(&site, "spent_here"), 100, "its prompt counts once");
+    assert_eq!(
+        budget_field(&site, "spent_here"),
+        100,
+        "its prompt counts once"
+    );
 }
 
-/// An endpoint takes a request and says nothing more. The caller has its answer from another one long before its time is
-/// over.
+/// An endpoint accepts a request and sends nothing more. The request moves to another endpoint long before the route's
+/// timeout.
 #[test]
-fn a_silent_endpoint_is_left() {
+fn a_silent_endpoint_is_abandoned() {
     let mut site = Site::start(1000);
-    let id = site.ask("again", 0, 0);
-    site.pass(600);
+    let id = site.send("again", 0, 0);
+    site.advance(600);
     let left = |effect: &Effect| matches!(effect, Effect::Abandon(of) if *of == id);
     assert_eq!(site.effects.iter().filter(|e| left(e)).count(), 1);
-    site.tell(Event::RunEnded(id, broken(false)));
+    site.handle(Event::RunEnded(id, broken_run(false)));
     assert_eq!(site.runs(id).len(), 2);
 }
 
-/// A run takes longer than its route allows. The caller has its final answer at that time, once.
+/// A run takes longer than its route's timeout. The caller gets the final answer at that time, exactly once.
 #[test]
-fn the_routes_time_is_kept() {
+fn a_route_timeout_is_enforced() {
     let mut site = Site::start(1000);
-    let id = site.ask("once", 0, 0);
-    site.pass(2040);
+    let id = site.send("once", 0, 0);
+    site.advance(2040);
     let cuts = site
         .effects
         .iter()
@@ -390,43 +402,46 @@
     );
 }
 
-/// A router is told to stop while callers still keep its address. It serves them for as long as they may, and ends when
-/// nothing is in progress and what it did not spend went back.
+/// A router is drained while callers still have its address cached. It serves them for as long as the address is valid,
+/// and exits once no request is in progress and its unspent budget is returned.
 #[test]
-fn a_stop_serves_those_who_keep_the_address() {
+fn a_draining_router_serves_callers_that_still_use_it() {
     let mut site = Site::start(10_000);
-    site.tell(Event::Drain);
-    site.pass(4000);
-    let id = site.ask("stream", 100, 50);
+    site.handle(Event::Drain);
+    site.advance(4000);
+    let id = site.send("stream", 100, 50);
     assert_eq!(site.runs(id).len(), 1);
     assert_eq!(site.refusal(id), None);
-    site.pass(LINGER.as_millis() as u64 - 4000 + 40);
+    site.advance(LINGER.as_millis() as u64 - 4000 + 40);
     let exits = |site: &Site| {
         site.effects
             .iter()
             .any(|e| matches!(e, Effect::Exit { .. }))
     };
     assert!(!exits(&site), "a request is in progress");
-    site.tell(Event::RunEnded(id, whole(10)));
-    site.pass(100);
+    site.handle(Event::RunEnded(id, whole(10)));
+    site.advance(100);
     assert!(exits(&site));
-    assert_eq!(budget(&site, "granted_here"), budget(&site, "spent_here"));
+    assert_eq!(
+        budget_field(&site, "granted_here"),
+        budget_field(&site, "spent_here")
+    );
 }
 
-/// A router stops while it is cut off from the log. What it did not spend goes to another router, which would else refuse
-/// the team's callers.
+/// A router drains while it is cut off from the log. It transfers its unspent budget to another router, which would
+/// otherwise refuse the team's callers.
 #[test]
-fn a_stop_in_a_cut_hands_budget_over() {
+fn a_router_draining_in_a_log_outage_transfers_its_budget() {
     let mut site = Site::start(1_000_000);
-    let id = site.ask("stream", 1000, 50);
-    site.tell(Event::RunEnded(id, whole(50)));
-    site.pass(3000);
-    site.log = Log::Away;
-    site.pass(2000);
-    site.tell(Event::Drain);
+    let id = site.send("stream", 1000, 50);
+    site.handle(Event::RunEnded(id, whole(50)));
+    site.advance(3000);
+    site.log = Log::Down;
+    site.advance(2000);
+    site.handle(Event::Drain);
     for _ in 0..12 {
-        site.hear_peer(0);
-        site.pass(500);
+        site.receive_peer_heartbeat(0);
+        site.advance(500);
     }
     let given = site
         .effects
@@ -435,22 +450,22 @@
     assert!(given);
 }
 
-/// A request comes to a router that is about to end. One that is over before that is served; one that may last longer would
-/// be cut off, and is told at once to go elsewhere.
+/// Requests arrive at a router that is about to exit. One that ends in time is served; one that may take longer would
+/// be cut off, and is refused at once so that the caller goes to another router.
 #[test]
 fn what_would_be_cut_off_goes_elsewhere() {
     let mut site = Site::start(10_000);
-    let busy = site.ask("stream", 100, 50);
-    site.tell(Event::Drain);
-    site.pass(5600);
-    let short = site.ask("once", 0, 0);
+    let busy = site.send("stream", 100, 50);
+    site.handle(Event::Drain);
+    site.advance(5600);
+    let short = site.send("once", 0, 0);
     assert_eq!(
         site.runs(short).len(),
         1,
         "2.0 s fit into what is left of 7.7 s"
     );
-    site.pass(200);
-    let long = site.ask("once", 0, 0);
+    site.advance(200);
+    let long = site.send("once", 0, 0);
     let problem = site.refusal(long).expect("it is refused");
     assert_eq!(
         (problem.kind, problem.ran),
--- a/src/router/tests/mod.rs
+++ b/src/router/tests/mod.rs
@@ -1,8 +1,8 @@
-//! Tests of the core as plain values: events in, effects out, and a log in memory that feeds what was appended back.
+//! Tests of the core without I/O: events in, effects out, and an in-memory log that returns appended records.
 
 #![expect(
     clippy::disallowed_methods,
-    reason = "a test takes the moment at which it starts from the system"
+    reason = "a test reads its start time from the system clock"
 )]
 
 mod behind;
@@ -12,19 +12,19 @@
 mod drained;
 mod drained_domains;
 mod fleet_clock;
+mod fragmented;
 mod grants;
 mod heartbeats;
 mod hung_up;
 mod isolated;
+mod ledger_budget;
 mod outage;
 mod owners;
 mod pace;
 mod power_lost;
-mod purse;
 mod random;
 mod reborn;
 mod refused;
 mod reincarnated;
-mod scattered;
 mod site;
 mod starved;
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -1,4 +1,4 @@
-//! A living router is closed by another that took it for dead.
+//! A live router is closed by another router that considered it dead, and restarts as a new incarnation.
 
 use crate::ids::Incarnation;
 use crate::ids::RequestId;
@@ -17,8 +17,8 @@
 use crate::router::tests::bench::Log;
 use crate::tokens::Tokens;
 
-/// Writes what a third router, of which this test is the hand, appends to close the first one.
-fn close(bench: &mut Bench) {
+/// Appends the records with which a third router closes the first one.
+fn append_close(bench: &mut Bench) {
     let closer = Incarnation(99);
     let open = Record::Open {
         vm: "router-9".parse().expect("a name"),
@@ -34,29 +34,32 @@
     bench.records.push(encode(&batch));
 }
 
-fn closed(bench: &mut Bench) {
+fn close_and_restart(bench: &mut Bench) {
     let old = bench.nodes[0].core.me;
-    close(bench);
+    append_close(bench);
     bench.pass(500);
     assert_ne!(bench.nodes[0].core.me, old);
-    assert!(bench.nodes[0].core.is_serving(), "it begins anew");
+    assert!(
+        bench.nodes[0].core.is_serving(),
+        "it restarts as a new incarnation"
+    );
 }
 
-/// A stream runs when its router is closed by error. What it used can't be billed any more, so its caller must see that
-/// the answer is not whole; sent again, it is served and billed once.
+/// A stream is running when its router is closed by mistake. Its usage can no longer be billed, so the caller must see
+/// that the answer is incomplete; the retry is served and billed once.
 #[test]
 fn a_running_stream_is_cut_and_its_retry_is_billed_once() {
     let mut bench = Bench::start(2);
     let ask = bench.chat("r1", 1);
     let id = bench.dispatched(0, &ask);
     bench.tell(0, Event::AnswerStarted(id));
-    closed(&mut bench);
+    close_and_restart(&mut bench);
     assert!(bench.nodes[0].cut(id));
     assert_eq!(
         bench.nodes[0].refusal(id).map(|p| p.ran),
         Some(Ran::Unknown)
     );
-    // The engine's end comes all the same, and changes nothing.
+    // The engine still reports the end of the run, which has no effect.
     bench.whole(0, id);
     bench.pass(300);
     assert!(!bench.nodes[0].released(id));
@@ -70,14 +73,14 @@
     assert_eq!(bench.spent(), 23);
 }
 
-/// The same with a call that may not be repeated. The service has it, and nobody can tell the outcome; were the retry run,
-/// it would take effect twice.
+/// A call that may not be repeated is running when its router is closed. The service has received it and the outcome is
+/// unknown; if the retry ran, the call could take effect twice.
 #[test]
-fn a_running_call_is_unknown_for_good() {
+fn a_running_call_stays_unknown() {
     let mut bench = Bench::start(2);
     let ask = bench.call("r2", 1);
     let id = bench.dispatched(0, &ask);
-    closed(&mut bench);
+    close_and_restart(&mut bench);
     assert!(bench.nodes[0].cut(id));
     for at in 0..2 {
         let retry = bench.call("r2", 2);
@@ -92,10 +95,10 @@
     }
 }
 
-/// The router is closed while a request waits for budget to be drawn, or while its claim is on its way. Nothing was sent to
-/// an endpoint, so it goes on under the new incarnation as if nothing had happened.
+/// The router is closed while a request waits for a draw, or while its claim is being appended. Nothing was sent to an
+/// endpoint, so the request continues under the new incarnation.
 #[test]
-fn what_was_not_dispatched_is_claimed_anew() {
+fn requests_not_dispatched_are_claimed_again() {
     for (call, warm) in [(true, true), (true, false), (false, true), (false, false)] {
         let mut bench = Bench::start(2);
         if warm {
@@ -109,7 +112,7 @@
         if call {
             ask = bench.call("r3", 1);
         }
-        close(&mut bench);
+        append_close(&mut bench);
         let id = bench.arrive(0, &ask);
         let state = &bench.nodes[0].core.requests[&id].state;
         match warm {
@@ -136,17 +139,17 @@
     }
 }
 
-/// A caller hung up while its claim was on its way, and the router is closed before the claim's verdict. Nobody waits for
-/// the request any more, and it must not stay in progress: its retry would wait for it.
+/// A caller disconnects while its claim is being appended, and the router is closed before the claim's verdict. The
+/// request must not stay in progress, because its retry would wait for it.
 #[test]
-fn what_was_given_up_is_forgotten() {
+fn an_abandoned_request_is_removed() {
     let mut bench = Bench::start(2);
     let first = bench.chat("warm", 1);
     let first = bench.dispatched(0, &first);
     bench.whole(0, first);
     bench.pass(2000);
     let ask = bench.call("r7", 1);
-    close(&mut bench);
+    append_close(&mut bench);
     let id = bench.arrive(0, &ask);
     bench.tell(0, Event::CallerGone(id));
     let state = &bench.nodes[0].core.requests[&id].state;
@@ -157,14 +160,14 @@
     bench.dispatched(0, &retry);
 }
 
-/// A bill is on its way, and the close stands before it in the log. The whole answer but its end is with the caller; the
-/// end must not follow.
+/// A bill is being appended, and the close precedes it in the log. The caller has received the answer except for the
+/// end marker, which must not be sent.
 #[test]
-fn a_bill_that_comes_behind_the_close_cuts_its_answer() {
+fn a_bill_after_the_close_cuts_its_answer() {
     let mut bench = Bench::start(2);
     let ask = bench.chat("r4", 1);
     let id = bench.dispatched(0, &ask);
-    close(&mut bench);
+    append_close(&mut bench);
     bench.whole(0, id);
     bench.pass(500);
     assert!(bench.nodes[0].cut(id));
@@ -172,27 +175,27 @@
     assert_eq!(bench.spent(), 0);
 }
 
-/// A bill that stands before the close is as good as any.
+/// A bill that precedes the close in the log is valid.
 #[test]
-fn a_bill_that_comes_before_the_close_counts() {
+fn a_bill_before_the_close_counts() {
     let mut bench = Bench::start(2);
     let ask = bench.chat("r5", 1);
     let id = bench.dispatched(0, &ask);
     bench.whole(0, id);
     bench.now += super::bench::COMMIT * 4;
     bench.tell(0, Event::Tick);
-    close(&mut bench);
+    append_close(&mut bench);
     bench.pass(500);
     assert!(bench.nodes[0].released(id));
     assert!(!bench.nodes[0].cut(id));
     assert_eq!(bench.spent(), 23);
 }
 
-/// The requests that wait, for an endpoint or for another attempt, are not touched by a close.
+/// A close does not affect requests that wait for an endpoint or for another attempt of the same request.
 #[test]
-fn what_waits_goes_on() {
+fn waiting_requests_are_not_affected() {
     let mut bench = Bench::start(2);
-    // The account's and the endpoints' limits let some of these run and have others wait.
+    // Under the limits of the account and the endpoints, some of these run and others wait.
     let ids: Vec<RequestId> = (0..200)
         .map(|number| {
             let ask = bench.chat(&format!("w{number}"), 1);
@@ -210,9 +213,9 @@
         .filter(|id| bench.nodes[0].runs(*id).is_empty() && bench.nodes[0].refusal(*id).is_none())
         .collect();
     assert!(!waiting.is_empty());
-    closed(&mut bench);
+    close_and_restart(&mut bench);
     assert!(bench.nodes[0].refusal(waiter).is_none());
-    // The cut ones left their places.
+    // The requests that were cut released their slots.
     bench.pass(500);
     assert!(waiting.iter().any(|id| bench.nodes[0].runs(*id).len() == 1));
     for id in waiting {
@@ -221,15 +224,15 @@
     }
 }
 
-/// A refusal's proof is on its way when the router is closed. It will not come, and the caller is not told what was not
-/// proved.
+/// The record that proves a refusal is being appended when the router is closed. It will not be folded, so the caller
+/// must not be told that the request did not run.
 #[test]
-fn a_refusal_whose_proof_is_lost_is_unknown() {
+fn a_refusal_without_proof_is_not_reported_as_not_run() {
     let mut bench = Bench::start(2);
     let mut ask = bench.chat("r6", 2);
     ask.timeout = Some(std::time::Duration::from_millis(1));
-    close(&mut bench);
-    // Its deadline passes at the first tick, before the close is read.
+    append_close(&mut bench);
+    // Its deadline expires at the first tick, before the close is read.
     bench.log = Log::Down;
     let id = bench.arrive(0, &ask);
     bench.pass(10);
@@ -242,11 +245,12 @@
     );
 }
 
-/// A top-up was under way. It counts once by its name, so it is sent again, and the operator hears that it was applied.
+/// A top-up is being appended when the router is closed. Its id makes it idempotent, so it is sent again, and the
+/// operator is told that it was applied.
 #[test]
 fn a_top_up_is_sent_again() {
     let mut bench = Bench::start(2);
-    close(&mut bench);
+    append_close(&mut bench);
     let before = bench
         .ledger()
         .team(&"loans".parse().expect("a name"))
