--- a/src/router/tests/hung_up.rs
+++ b/src/router/tests/caller_hang_up.rs
@@ -4,8 +4,8 @@
 use crate::router::Event;
 use crate::router::RunEnd;
 use crate::router::Usage;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::PRICE;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::PRICE;
 use crate::tokens::Tokens;
 
 /// A caller hangs up while its call's claim is on its way. Nothing was sent to the service, so nothing is billed and the
--- a/src/router/tests/contended.rs
+++ b/src/router/tests/concurrent_attempts.rs
@@ -5,8 +5,8 @@
 use crate::router::ProblemKind;
 use crate::router::Ran;
 use crate::router::RunEnd;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::PRICE;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::PRICE;
 
 fn answered() -> RunEnd {
     RunEnd::Answered {
--- a/src/router/tests/drained.rs
+++ b/src/router/tests/drain.rs
@@ -6,9 +6,9 @@
 use crate::router::Event;
 use crate::router::ProblemKind;
 use crate::router::Ran;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::Log;
-use crate::router::tests::bench::tuning;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::tuning;
 
 fn exits(bench: &Bench) -> Vec<bool> {
     let out = bench.nodes[0].out.iter();
--- a/src/router/tests/fleet_clock.rs
+++ b/src/router/tests/fleet_clock.rs
@@ -5,7 +5,7 @@
 
 use crate::moment::Span;
 use crate::router::fleet_clock::FleetClock;
-use crate::router::tests::bench::boot_clock;
+use crate::router::tests::cluster::boot_clock;
 use crate::router::tests::site::WALL;
 
 const OTHERS: usize = 8;
--- a/src/router/tests/commit.rs
+++ b/src/router/tests/group_commit.rs
@@ -4,10 +4,10 @@
 
 use crate::ledger::Record;
 use crate::ledger::decode;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::COMMIT;
-use crate::router::tests::bench::Log;
-use crate::router::tests::bench::OUTAGE;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::COMMIT;
+use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::OUTAGE;
 
 /// Counts the claims in each batch that a router sent off from the given one on.
 fn claims(bench: &Bench, from: usize) -> Vec<usize> {
--- a/src/router/tests/mod.rs
+++ b/src/router/tests/mod.rs
@@ -5,26 +5,26 @@
     reason = "a test takes the moment at which it starts from the system"
 )]
 
-mod behind;
-mod bench;
-mod commit;
-mod contended;
-mod drained;
+mod caller_hang_up;
+mod cluster;
+mod commit_timing;
+mod concurrent_attempts;
+mod drain;
 mod drained_domains;
+mod endpoint_restart;
 mod fleet_clock;
 mod grants;
+mod group_commit;
 mod heartbeats;
-mod hung_up;
-mod isolated;
 mod outage;
 mod owners;
-mod pace;
-mod power_lost;
+mod partition;
+mod power_loss;
 mod purse;
 mod random;
-mod reborn;
 mod refused;
 mod reincarnated;
 mod scattered;
 mod site;
+mod stale_config;
 mod starved;
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -9,9 +9,9 @@
 use crate::router::Silence;
 use crate::router::Tuning;
 use crate::router::members::Members;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::Log;
-use crate::router::tests::bench::tuning;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::tuning;
 use crate::settings::EndMarker;
 
 /// Brings up two cores that hold budget, of which the first has noticed that the log is down.
--- a/src/router/tests/isolated.rs
+++ b/src/router/tests/partition.rs
@@ -6,9 +6,9 @@
 use crate::router::Event;
 use crate::router::Silence;
 use crate::router::Tuning;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::Log;
-use crate::router::tests::bench::tuning;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::tuning;
 
 const PARTED: Duration = Duration::from_secs(60);
 
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -17,9 +17,9 @@
 use crate::router::Silence;
 use crate::router::Usage;
 use crate::router::request::State;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::Log;
-use crate::router::tests::bench::tuning;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::tuning;
 use crate::tokens::Tokens;
 
 /// What the team has prepaid: enough for some of the requests.
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -9,9 +9,9 @@
 use crate::router::Ran;
 use crate::router::RunEnd;
 use crate::router::Tuning;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::Log;
-use crate::router::tests::bench::tuning;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::tuning;
 
 fn told(bench: &Bench, at: usize, id: RequestId) -> (ProblemKind, Ran) {
     let refusal = bench.nodes[at].refusal(id).expect("a refusal");
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -13,8 +13,8 @@
 use crate::router::RunEnd;
 use crate::router::Usage;
 use crate::router::request::State;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::Log;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::Log;
 use crate::tokens::Tokens;
 
 /// Writes what a third router, of which this test is the hand, appends to close the first one.
@@ -179,7 +179,7 @@
     let ask = bench.chat("r5", 1);
     let id = bench.dispatched(0, &ask);
     bench.whole(0, id);
-    bench.now += super::bench::COMMIT * 4;
+    bench.now += super::cluster::COMMIT * 4;
     bench.tell(0, Event::Tick);
     close(&mut bench);
     bench.pass(500);
--- a/src/router/tests/scattered.rs
+++ b/src/router/tests/scattered.rs
@@ -1,7 +1,7 @@
 //! A budget whose last tokens lie scattered over the routers.
 
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::tuning;
+use crate::router::tests::cluster::Bench;
+use crate::router::tests::cluster::tuning;
 
 /// Two routers hold 87 tokens each, nothing is left to draw, and each has a caller whose request can cost 110. Were each to
 /// keep its part for its own caller, both would be refused though the team has 174 left.
