--- a/src/router/tests/caller_hang_up.rs
+++ b/src/router/tests/caller_hang_up.rs
@@ -11,7 +11,7 @@
 /// A caller hangs up while its call's claim is on its way. Nothing was sent to the service, so nothing is billed and the
 /// retry runs.
 #[test]
-fn before_the_claims_verdict_the_claim_is_given_up() {
+fn a_hang_up_before_the_verdict_releases_the_claim() {
     let mut bench = Bench::start(1);
     let ask = bench.call("h1", 1);
     let id = bench.arrive(0, &ask);
@@ -28,7 +28,7 @@
 /// sends it, and no answer ever comes. Were its claim left standing, each retry would be told until the router's end that
 /// the call is in progress.
 #[test]
-fn a_dispatch_that_nobody_carries_out_is_given_up() {
+fn an_unsent_dispatch_releases_its_claim() {
     for hung_up_first in [true, false] {
         let mut bench = Bench::start(1);
         for (key, call) in [("h2", true), ("h3", false)] {
@@ -58,7 +58,7 @@
 /// The first endpoint broke over a completion after it had used some tokens, and the caller hung up before the next one
 /// was asked. What was used is billed once.
 #[test]
-fn what_an_earlier_run_used_is_billed_though_the_next_is_not_sent() {
+fn an_earlier_runs_usage_is_billed_when_the_next_is_unsent() {
     let mut bench = Bench::start(1);
     let ask = bench.chat("h4", 1);
     let id = bench.dispatched(0, &ask);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn while_a_call_runs_its_outcome_is_kept() {
+fn a_calls_outcome_is_recorded_after_a_hang_up() {
     let mut bench = Bench::start(1);
     let ask = bench.call("h5", 1);
     let id = bench.dispatched(0, &ask);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn in_a_stream_what_was_used_is_billed() {
+fn a_hang_up_in_a_stream_bills_the_usage() {
     let mut bench = Bench::start(1);
     let ask = bench.chat("h6", 1);
     let id = bench.dispatched(0, &ask);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn while_its_bill_is_on_its_way_the_bill_stands() {
+fn a_hang_up_while_the_bill_is_pending_leaves_the_bill() {
     let mut bench = Bench::start(1);
     let ask = bench.chat("h7", 1);
     let id = bench.dispatched(0, &ask);
--- a/src/router/tests/drain.rs
+++ b/src/router/tests/drain.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn requests_in_progress_end_new_ones_go_elsewhere_and_holdings_go_back() {
+fn a_drain_finishes_requests_redirects_new_ones_and_returns_holdings() {
     let mut bench = Bench::start(2);
     let running = bench.chat("d1", 1);
     let running = bench.dispatched(0, &running);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_limit_ends_it_and_says_that_something_was_cut() {
+fn the_drain_limit_exits_and_reports_a_cut_request() {
     let mut bench = Bench::tuned(vec![crate::router::Tuning {
         drain: Duration::from_millis(500),
         ..tuning(0)
@@ -70,7 +70,7 @@
 /// A stop begins while the log is down. The router can't give back what it holds, nor bill what ended; it waits for the log
 /// until the limit.
 #[test]
-fn in_an_outage_it_waits_for_the_log() {
+fn a_drain_waits_for_the_log_in_an_outage() {
     let mut bench = Bench::start(1);
     let running = bench.chat("d5", 1);
     let running = bench.dispatched(0, &running);
--- a/src/router/tests/endpoint_restart.rs
+++ b/src/router/tests/endpoint_restart.rs
@@ -26,7 +26,7 @@
 /// An endpoint crashes with requests on it and is back under its name before their connections are known to be dead. Counted
 /// against its new life, they would keep work from it, and it would be thought to have prompts that it never read.
 #[test]
-fn a_new_life_begins_with_nothing() {
+fn a_restarted_endpoint_starts_with_no_load() {
     let mut site = Site::start(1_000_000);
     let first = endpoint(&site, "1000");
     site.tell(first);
--- a/src/router/tests/fleet_clock.rs
+++ b/src/router/tests/fleet_clock.rs
@@ -76,7 +76,7 @@
 
 /// What the clocks read at the start stays, whoever is heard of later: what was given back by it may be drawn already.
 #[test]
-fn the_start_is_told_once() {
+fn the_start_reading_does_not_change() {
     let start = Instant::now();
     let mut clock = clock(start, &[0; 5]);
     let now = start + Duration::from_secs(1);
--- a/src/router/tests/group_commit.rs
+++ b/src/router/tests/group_commit.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_comes_within_a_commit_goes_in_one_append() {
+fn records_within_a_commit_interval_share_an_append() {
     let mut bench = Bench::start(1);
     let first = bench.chat("warm", 1);
     bench.dispatched(0, &first);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn batches_are_a_commit_apart_and_one_at_a_time() {
+fn batches_are_a_commit_interval_apart_and_one_at_a_time() {
     let mut bench = Bench::start(1);
     let mut times = Vec::new();
     for number in 0..200 {
--- a/src/router/tests/partition.rs
+++ b/src/router/tests/partition.rs
@@ -40,7 +40,7 @@
 /// connection and says nothing may be frozen for some seconds. One that can't be reached may serve on its side of a
 /// partition, and keeps what it holds for as long as one lasts.
 #[test]
-fn a_silent_router_is_closed_by_the_kind_of_its_silence() {
+fn the_time_to_close_a_silent_router_depends_on_the_kind_of_silence() {
     let refused = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Refused);
     let mute = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Mute);
     let away = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Unreachable);
@@ -91,7 +91,7 @@
 /// A router that could not read the log for a while finds the others' last signs of life old. Their silence may be its own
 /// deafness, so it counts anew.
 #[test]
-fn a_router_that_was_deaf_itself_closes_no_one_at_once() {
+fn a_router_that_could_not_read_the_log_closes_no_peer_at_once() {
     let mut bench = bench(ConsistencyMode::Strict);
     let other = bench.nodes[1].core.me;
     bench.linked = false;
@@ -108,7 +108,7 @@
 /// The process is stopped for half a minute, as VMs are when they are moved. What lay in its sockets may have been asked
 /// elsewhere meanwhile, so it is refused without a word on whether it ran.
 #[test]
-fn what_lay_in_a_socket_over_a_pause_is_not_run() {
+fn a_request_buffered_during_a_pause_is_not_run() {
     let mut bench = bench(ConsistencyMode::Strict);
     bench.now += Duration::from_secs(30);
     bench.tell(0, Event::Paused);
--- a/src/router/tests/power_loss.rs
+++ b/src/router/tests/power_loss.rs
@@ -77,7 +77,7 @@
 /// The dead process lived a third of a second after its promise at most, and nobody can tell how long its VM was down but by
 /// clocks. So the time for which it was down, a second for the promise's age, its reserve and the haste, and not more.
 #[test]
-fn little_more_than_the_time_without_power_is_lost() {
+fn a_power_loss_costs_little_more_than_the_downtime() {
     let mut site = Site::start_among(PREPAID, vms());
     let used = serve(&mut site, 10);
     assert_eq!(used, 10 * DEMAND);
@@ -90,7 +90,7 @@
 /// off from the log for four seconds before, and used what it had promised for such a time. Given back, that would be used twice,
 /// and the team be served more than it prepaid.
 #[test]
-fn a_clock_that_fell_back_gives_nothing_back_that_was_used() {
+fn a_clock_set_back_returns_no_used_tokens() {
     let mut site = Site::start_ahead(PREPAID, vms(), Duration::from_secs(5));
     let mut used = serve(&mut site, 10);
     site.log = Log::Away;
@@ -108,7 +108,7 @@
 /// The same loss of power, and few other routers are heard of: their clocks may all be wrong. The VM's own counts then, with
 /// the allowance for its having been set back.
 #[test]
-fn few_clocks_are_not_believed() {
+fn too_few_clocks_are_not_trusted() {
     let mut site = Site::start_among(PREPAID, vms());
     let used = serve(&mut site, 10);
     site.lose_power(DOWN);
@@ -122,7 +122,7 @@
 /// Guards against a promise that is never written anew because nobody asks for the budget: it opens all the same, and all that
 /// had opened was lost with the routers' power.
 #[test]
-fn little_is_lost_of_a_budget_that_nobody_asks_for() {
+fn a_power_loss_costs_an_idle_budget_little() {
     let mut site = Site::start_among(PREPAID, vms());
     let used = serve(&mut site, 10);
     for _ in 0..120 {
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn no_interleaving_breaks_what_must_hold() {
+fn no_interleaving_breaks_an_invariant() {
     println!("seed={SEED}");
     QuickCheck::new()
         .tests(200)
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_first_attempt_is_its_callers_word() {
+fn a_refused_first_attempt_takes_no_record() {
     let mut bench = Bench::unfunded(vec![tuning(0)]);
     let records = bench.records.len();
     let told = refused(&mut bench, "p1", 1);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_broke_at_an_endpoint_may_have_run() {
+fn a_broken_run_has_an_unknown_outcome() {
     let mut bench = Bench::start(1);
     let ask = bench.call("p6", 1);
     let id = bench.dispatched(0, &ask);
@@ -127,7 +127,7 @@
 /// Another router runs the request when this one refuses its retry. "No" would have the caller send it once more under a
 /// new key.
 #[test]
-fn what_another_router_runs_is_never_said_not_to_run() {
+fn a_request_running_elsewhere_is_never_reported_as_not_run() {
     let mut bench = Bench::start(2);
     let first = bench.call("p7", 1);
     bench.dispatched(1, &first);
@@ -145,7 +145,7 @@
 
 /// Where one keeper is enough in an outage, a router may run what this one has no word of.
 #[test]
-fn leaning_to_availability_a_record_proves_nothing() {
+fn in_available_mode_a_record_proves_nothing() {
     let tuning = Tuning {
         lean: ConsistencyMode::Available,
         ..tuning(0)
@@ -163,7 +163,7 @@
 
 /// Thousands of retries a second are refused. Each proof is a record, and proving them all would take what serving needs.
 #[test]
-fn proofs_are_bounded() {
+fn refusal_records_are_rate_limited() {
     let mut bench = Bench::unfunded(vec![tuning(0)]);
     let ids: Vec<_> = (0..250)
         .map(|number| {
