--- a/src/router/tests/caller_hang_up.rs
+++ b/src/router/tests/caller_hang_up.rs
@@ -4,24 +4,24 @@
 use crate::router::Event;
 use crate::router::RunEnd;
 use crate::router::Usage;
-use crate::router::tests::cluster::Bench;
-use crate::router::tests::cluster::PRICE;
+use crate::router::tests::cluster::CALL_TOKENS;
+use crate::router::tests::cluster::Cluster;
 use crate::tokens::Tokens;
 
 /// A caller hangs up while its call's claim is on its way. Nothing was sent to the service, so nothing is billed and the
 /// retry runs.
 #[test]
 fn a_hang_up_before_the_verdict_releases_the_claim() {
-    let mut bench = Bench::start(1);
-    let ask = bench.call("h1", 1);
-    let id = bench.arrive(0, &ask);
-    bench.tell(0, Event::HungUp(id));
-    bench.pass(300);
-    assert!(bench.nodes[0].runs(id).is_empty());
-    assert!(bench.nodes[0].core.requests.is_empty());
-    assert_eq!(bench.spent(), 0);
-    let retry = bench.call("h1", 2);
-    bench.dispatched(0, &retry);
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.call("h1", 1);
+    let id = cluster.submit(0, &ask);
+    cluster.handle(0, Event::HungUp(id));
+    cluster.advance(300);
+    assert!(cluster.nodes[0].runs(id).is_empty());
+    assert!(cluster.nodes[0].core.requests.is_empty());
+    assert_eq!(cluster.spent(), 0);
+    let retry = cluster.call("h1", 2);
+    cluster.submit_and_dispatch(0, &retry);
 }
 
 /// The core dispatches a call in the moment in which its caller hangs up: the task that was to send it is gone. Nobody
@@ -30,26 +30,26 @@
 #[test]
 fn an_unsent_dispatch_releases_its_claim() {
     for hung_up_first in [true, false] {
-        let mut bench = Bench::start(1);
+        let mut cluster = Cluster::start(1);
         for (key, call) in [("h2", true), ("h3", false)] {
-            let mut ask = bench.chat(key, 1);
+            let mut ask = cluster.chat(key, 1);
             if call {
-                ask = bench.call(key, 1);
+                ask = cluster.call(key, 1);
             }
-            let id = bench.dispatched(0, &ask);
+            let id = cluster.submit_and_dispatch(0, &ask);
             if hung_up_first {
-                bench.tell(0, Event::HungUp(id));
+                cluster.handle(0, Event::HungUp(id));
             }
-            bench.tell(0, Event::Ended(id, RunEnd::Unsent));
-            bench.pass(300);
-            assert!(!bench.nodes[0].core.requests.contains_key(&id), "{key}");
-            assert_eq!(bench.bill(key), None, "{key}");
-            assert_eq!(bench.spent(), 0);
-            let mut retry = bench.chat(key, 2);
+            cluster.handle(0, Event::Ended(id, RunEnd::Unsent));
+            cluster.advance(300);
+            assert!(!cluster.nodes[0].core.requests.contains_key(&id), "{key}");
+            assert_eq!(cluster.bill(key), None, "{key}");
+            assert_eq!(cluster.spent(), 0);
+            let mut retry = cluster.chat(key, 2);
             if call {
-                retry = bench.call(key, 2);
+                retry = cluster.call(key, 2);
             }
-            let retry = bench.dispatched(0, &retry);
+            let retry = cluster.submit_and_dispatch(0, &retry);
             assert_ne!(retry, id);
         }
     }
@@ -59,9 +59,9 @@
 /// was asked. What was used is billed once.
 #[test]
 fn an_earlier_runs_usage_is_billed_when_the_next_is_unsent() {
-    let mut bench = Bench::start(1);
-    let ask = bench.chat("h4", 1);
-    let id = bench.dispatched(0, &ask);
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.chat("h4", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
     let usage = Usage {
         prompt: Tokens(3),
         answer: Tokens(4),
@@ -71,60 +71,63 @@
         begun: false,
         died: false,
     };
-    bench.tell(0, Event::Ended(id, broken));
-    assert_eq!(bench.nodes[0].runs(id).len(), 2);
-    bench.tell(0, Event::HungUp(id));
-    bench.tell(0, Event::Ended(id, RunEnd::Unsent));
-    bench.pass(300);
-    assert_eq!(bench.bill("h4"), Some(7));
-    assert_eq!(bench.spent(), 7);
-    assert!(bench.nodes[0].core.requests.is_empty());
+    cluster.handle(0, Event::Ended(id, broken));
+    assert_eq!(cluster.nodes[0].runs(id).len(), 2);
+    cluster.handle(0, Event::HungUp(id));
+    cluster.handle(0, Event::Ended(id, RunEnd::Unsent));
+    cluster.advance(300);
+    assert_eq!(cluster.bill("h4"), Some(7));
+    assert_eq!(cluster.spent(), 7);
+    assert!(cluster.nodes[0].core.requests.is_empty());
 }
 
 #[test]
 fn a_calls_outcome_is_recorded_after_a_hang_up() {
-    let mut bench = Bench::start(1);
-    let ask = bench.call("h5", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::HungUp(id));
-    bench.pass(200);
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.call("h5", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.handle(0, Event::HungUp(id));
+    cluster.advance(200);
     let body = Some(b"receipt".to_vec());
-    bench.tell(0, Event::Ended(id, RunEnd::Answered { status: 201, body }));
-    bench.pass(200);
-    let again = bench.call("h5", 2);
-    let again = bench.arrive(0, &again);
-    assert_eq!(bench.nodes[0].replayed(again), Some((201, &b"receipt"[..])));
-    assert_eq!(bench.spent(), PRICE);
+    cluster.handle(0, Event::Ended(id, RunEnd::Answered { status: 201, body }));
+    cluster.advance(200);
+    let again = cluster.call("h5", 2);
+    let again = cluster.submit(0, &again);
+    assert_eq!(
+        cluster.nodes[0].replayed(again),
+        Some((201, &b"receipt"[..]))
+    );
+    assert_eq!(cluster.spent(), CALL_TOKENS);
 }
 
 #[test]
 fn a_hang_up_in_a_stream_bills_the_usage() {
-    let mut bench = Bench::start(1);
-    let ask = bench.chat("h6", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::Started(id));
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.chat("h6", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.handle(0, Event::Started(id));
     let usage = Some(Usage {
         prompt: Tokens(3),
         answer: Tokens(5),
     });
-    bench.tell(0, Event::Ended(id, RunEnd::CallerGone { usage }));
-    bench.pass(200);
-    let bill = bench
+    cluster.handle(0, Event::Ended(id, RunEnd::CallerGone { usage }));
+    cluster.advance(200);
+    let bill = cluster
         .key_state("h6")
         .and_then(|key| key.bill)
         .expect("a bill");
     assert_eq!((bill.amount, bill.outcome), (Tokens(8), Outcome::Cut));
-    assert_eq!(bench.spent(), 8);
+    assert_eq!(cluster.spent(), 8);
 }
 
 #[test]
 fn a_hang_up_while_the_bill_is_pending_leaves_the_bill() {
-    let mut bench = Bench::start(1);
-    let ask = bench.chat("h7", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.whole(0, id);
-    bench.tell(0, Event::HungUp(id));
-    bench.pass(200);
-    assert_eq!(bench.bill("h7"), Some(23));
-    assert!(bench.nodes[0].core.requests.is_empty());
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.chat("h7", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.complete(0, id);
+    cluster.handle(0, Event::HungUp(id));
+    cluster.advance(200);
+    assert_eq!(cluster.bill("h7"), Some(23));
+    assert!(cluster.nodes[0].core.requests.is_empty());
 }
--- a/src/router/tests/cluster.rs
+++ b/src/router/tests/cluster.rs
@@ -45,24 +45,24 @@
 use crate::vms::VmState;
 
 /// The commit interval of the cores.
-pub(crate) const COMMIT: Duration = Duration::from_millis(25);
+pub(crate) const COMMIT_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long a batch may go without its verdict.
-pub(crate) const OUTAGE: Duration = Duration::from_millis(500);
+pub(crate) const OUTAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What a call costs.
-pub(crate) const PRICE: u64 = 5;
+pub(crate) const CALL_TOKENS: u64 = 5;
 
 /// What the team has prepaid, unless a test says otherwise.
-pub(crate) const BUDGET: u64 = 100_000;
+pub(crate) const BUDGET_TOKENS: u64 = 100_000;
 
 /// How the log service answers appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Log {
+pub(crate) enum LogState {
     /// They take effect and are answered.
     Up,
     /// They take effect, and the answer is lost.
-    LosesAnswers,
+    LosesResponses,
     /// They neither take effect nor are answered.
     Down,
 }
@@ -71,24 +71,24 @@
 pub(crate) struct Node {
     pub(crate) core: Core,
     /// What it did that is not the log's or the peers' affair.
-    pub(crate) out: Vec<Effect>,
+    pub(crate) effects: Vec<Effect>,
     /// The batches that it sent off, one for each try.
     pub(crate) sent: Vec<Vec<u8>>,
-    read: usize,
+    next_offset: usize,
 }
 
 /// One core or two, and a log.
-pub(crate) struct Bench {
+pub(crate) struct Cluster {
     pub(crate) now: Instant,
     pub(crate) nodes: Vec<Node>,
-    pub(crate) log: Log,
+    pub(crate) log: LogState,
     /// Whether the routers hear each other.
-    pub(crate) linked: bool,
+    pub(crate) connected: bool,
     pub(crate) records: Vec<Vec<u8>>,
     /// How many bytes the routers have left with each other.
-    pub(crate) left: usize,
+    pub(crate) kept_bytes: usize,
     started: Instant,
-    next: u64,
+    next_id: u64,
 }
 
 pub(crate) fn tuning(at: usize) -> Tuning {
@@ -98,10 +98,10 @@
         address: format!("127.0.0.1:{}", 8000 + at),
         lean: ConsistencyMode::Strict,
         pace: AppendTiming {
-            interval: COMMIT,
-            timeout: OUTAGE,
+            interval: COMMIT_INTERVAL,
+            timeout: OUTAGE_TIMEOUT,
         },
-        outage: OUTAGE,
+        outage: OUTAGE_TIMEOUT,
         marker: EndMarker::Peers,
         heartbeat: Duration::from_millis(100),
         silence: Duration::from_secs(4),
@@ -128,53 +128,53 @@
     BootClock::new(start, started)
 }
 
-impl Bench {
+impl Cluster {
     /// Brings up so many cores, which serve, and gives the team its budget.
     pub(crate) fn start(routers: usize) -> Self {
-        Self::tuned((0..routers).map(tuning).collect())
+        Self::with_tuning((0..routers).map(tuning).collect())
     }
 
-    pub(crate) fn tuned(tunings: Vec<Tuning>) -> Self {
-        let mut bench = Self::unfunded(tunings);
-        bench.top_up("first", BUDGET);
-        bench
+    pub(crate) fn with_tuning(tunings: Vec<Tuning>) -> Self {
+        let mut cluster = Self::without_budget(tunings);
+        cluster.top_up("first", BUDGET_TOKENS);
+        cluster
     }
 
-    pub(crate) fn unfunded(tunings: Vec<Tuning>) -> Self {
+    pub(crate) fn without_budget(tunings: Vec<Tuning>) -> Self {
         let now = Instant::now();
         let nodes = tunings.into_iter().enumerate();
         let nodes = nodes.map(|(at, tuning)| Node {
             core: Core::new(now, tuning, at as u64 + 1),
-            out: Vec::new(),
+            effects: Vec::new(),
             sent: Vec::new(),
-            read: 0,
+            next_offset: 0,
         });
-        let mut bench = Self {
+        let mut cluster = Self {
             now,
             nodes: nodes.collect(),
-            log: Log::Up,
-            linked: true,
+            log: LogState::Up,
+            connected: true,
             records: Vec::new(),
-            left: 0,
+            kept_bytes: 0,
             started: now,
-            next: 1,
+            next_id: 1,
         };
-        let list = vm_list(bench.nodes.len());
-        for at in 0..bench.nodes.len() {
+        let list = vm_list(cluster.nodes.len());
+        for at in 0..cluster.nodes.len() {
             let entry = Entry {
                 offset: Offset(0),
                 at: 1,
                 data: config().to_string().into_bytes(),
             };
-            bench.tell(at, Event::ConfigEntries(vec![entry]));
-            bench.tell(at, Event::VmList(list.clone()));
-            bench.tell(at, Event::CaughtUp);
+            cluster.handle(at, Event::ConfigEntries(vec![entry]));
+            cluster.handle(at, Event::VmList(list.clone()));
+            cluster.handle(at, Event::CaughtUp);
         }
-        bench.pass(200);
-        for node in &bench.nodes {
+        cluster.advance(200);
+        for node in &cluster.nodes {
             assert!(node.core.serving());
         }
-        bench
+        cluster
     }
 
     pub(crate) fn top_up(&mut self, id: &str, amount: u64) {
@@ -183,19 +183,19 @@
             team: "loans".parse().expect("a name"),
             amount: Tokens(amount),
         };
-        self.tell(0, Event::Admin(AdminId(u64::MAX), request));
-        self.pass(200);
+        self.handle(0, Event::Admin(AdminId(u64::MAX), request));
+        self.advance(200);
     }
 
     /// Tells a core of an event and carries out what it wants of the log and of the other.
-    pub(crate) fn tell(&mut self, at: usize, event: Event) {
+    pub(crate) fn handle(&mut self, at: usize, event: Event) {
         let effects = self.nodes[at].core.handle(self.now, event);
         for effect in effects {
-            self.carry_out(at, effect);
+            self.perform(at, effect);
         }
     }
 
-    fn carry_out(&mut self, at: usize, effect: Effect) {
+    fn perform(&mut self, at: usize, effect: Effect) {
         match effect {
             Effect::Append {
                 router,
@@ -203,28 +203,28 @@
                 bytes,
             } => {
                 self.nodes[at].sent.push(bytes.clone());
-                if self.log != Log::Down {
+                if self.log != LogState::Down {
                     self.records.push(bytes);
                 }
-                if self.log != Log::Down {
-                    let landed = self.log == Log::Up;
+                if self.log != LogState::Down {
+                    let landed = self.log == LogState::Up;
                     let event = Event::Appended {
                         router,
                         sequence,
                         landed,
                     };
-                    self.tell(at, event);
+                    self.handle(at, event);
                 }
             }
-            Effect::AppendKept(bytes) if self.log != Log::Down => self.records.push(bytes),
-            Effect::Beat(beat, _) if self.linked => {
+            Effect::AppendKept(bytes) if self.log != LogState::Down => self.records.push(bytes),
+            Effect::Beat(beat, _) if self.connected => {
                 for other in (0..self.nodes.len()).filter(|other| *other != at) {
-                    self.tell(other, Event::Heard(beat.clone()));
+                    self.handle(other, Event::Heard(beat.clone()));
                 }
             }
-            Effect::Keep(batches, peers) if self.linked && !peers.is_empty() => {
+            Effect::Keep(batches, peers) if self.connected && !peers.is_empty() => {
                 let other = 1 - at;
-                self.left += batches.batches.iter().map(Vec::len).sum::<usize>();
+                self.kept_bytes += batches.batches.iter().map(Vec::len).sum::<usize>();
                 let event = Event::Keep(AdminId(0), batches.clone());
                 let answers = self.nodes[other].core.handle(self.now, event);
                 let keeps = |e: &Effect| matches!(e, Effect::Answer(AdminId(0), 200, _));
@@ -235,22 +235,22 @@
                         last: batches.last,
                         records: batches.records,
                     };
-                    self.tell(at, event);
+                    self.handle(at, event);
                 } else {
-                    self.tell(at, Event::Unkept(peers[0].vm.clone()));
+                    self.handle(at, Event::Unkept(peers[0].vm.clone()));
                 }
             }
             Effect::Beat(..) | Effect::Keep(..) | Effect::AppendKept(_) => {}
-            other => self.nodes[at].out.push(other),
+            other => self.nodes[at].effects.push(other),
         }
     }
 
     /// Shows a core what the log has that it has not read.
-    pub(crate) fn read(&mut self, at: usize) {
-        if self.log == Log::Down {
+    pub(crate) fn read_log(&mut self, at: usize) {
+        if self.log == LogState::Down {
             return;
         }
-        let from = self.nodes[at].read;
+        let from = self.nodes[at].next_offset;
         let millis = u64::try_from((self.now - self.started).as_millis()).expect("it fits");
         let entries: Vec<_> = (from..self.records.len())
             .map(|offset| Entry {
@@ -259,33 +259,33 @@
                 data: self.records[offset].clone(),
             })
             .collect();
-        self.nodes[at].read = self.records.len();
+        self.nodes[at].next_offset = self.records.len();
         // A reader that waits for records is answered after a while also where there are none.
-        self.tell(at, Event::LedgerEntries(entries));
+        self.handle(at, Event::LedgerEntries(entries));
     }
 
     /// Lets time pass, in steps of the loop's tick, with the log read at each.
-    pub(crate) fn pass(&mut self, millis: u64) {
+    pub(crate) fn advance(&mut self, millis: u64) {
         let step = 5;
         for _ in 0..millis.div_ceil(step) {
             self.now += Duration::from_millis(step);
             for at in 0..self.nodes.len() {
-                self.read(at);
-                self.tell(at, Event::Tick);
+                self.read_log(at);
+                self.handle(at, Event::Tick);
             }
         }
     }
 
     /// Names a request.
-    pub(crate) fn id(&mut self) -> RequestId {
-        self.next += 1;
-        RequestId(self.next)
+    pub(crate) fn next_request_id(&mut self) -> RequestId {
+        self.next_id += 1;
+        RequestId(self.next_id)
     }
 
     /// A completion of at most 100 tokens.
     pub(crate) fn chat(&mut self, key: &str, attempt: u64) -> Arrival {
         Arrival {
-            id: self.id(),
+            id: self.next_request_id(),
             bearer: Secret("yard-key".to_owned()),
             key: Some(key.parse().expect("a name")),
             attempt: Attempt(attempt),
@@ -314,32 +314,37 @@
     }
 
     /// Has a request arrive at a router.
-    pub(crate) fn arrive(&mut self, at: usize, arrival: &Arrival) -> RequestId {
-        self.tell(at, Event::Arrived(Box::new(arrival.clone())));
+    pub(crate) fn submit(&mut self, at: usize, arrival: &Arrival) -> RequestId {
+        self.handle(at, Event::Arrived(Box::new(arrival.clone())));
         arrival.id
     }
 
     /// Has a request arrive, and waits until it was dispatched.
-    pub(crate) fn dispatched(&mut self, at: usize, arrival: &Arrival) -> RequestId {
-        let id = self.arrive(at, arrival);
-        self.pass(200);
-        assert_eq!(self.nodes[at].runs(id).len(), 1, "{:?}", self.nodes[at].out);
+    pub(crate) fn submit_and_dispatch(&mut self, at: usize, arrival: &Arrival) -> RequestId {
+        let id = self.submit(at, arrival);
+        self.advance(200);
+        assert_eq!(
+            self.nodes[at].runs(id).len(),
+            1,
+            "{:?}",
+            self.nodes[at].effects
+        );
         id
     }
 
     /// Ends a completion's run whole.
-    pub(crate) fn whole(&mut self, at: usize, id: RequestId) {
+    pub(crate) fn complete(&mut self, at: usize, id: RequestId) {
         let usage = Usage {
             prompt: Tokens(3),
             answer: Tokens(20),
         };
-        self.tell(at, Event::Ended(id, RunEnd::Whole { usage }));
+        self.handle(at, Event::Ended(id, RunEnd::Whole { usage }));
     }
 
     /// Ends all runs of a router whole.
-    pub(crate) fn end_all(&mut self, at: usize) {
+    pub(crate) fn complete_all(&mut self, at: usize) {
         let ids: Vec<_> = self.nodes[at].core.requests.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.whole(at, id));
+        ids.into_iter().for_each(|id| self.complete(at, id));
     }
 
     /// Folds the whole log anew.
@@ -375,7 +380,7 @@
 impl Node {
     /// Returns a request's dispatches.
     pub(crate) fn runs(&self, id: RequestId) -> Vec<&Run> {
-        let runs = self.out.iter().filter_map(|effect| match effect {
+        let runs = self.effects.iter().filter_map(|effect| match effect {
             Effect::Run(of, run) if *of == id => Some(&**run),
             _ => None,
         });
@@ -384,13 +389,13 @@
 
     /// Counts all dispatches.
     pub(crate) fn dispatches(&self) -> u64 {
-        let runs = self.out.iter().filter(|e| matches!(e, Effect::Run(..)));
+        let runs = self.effects.iter().filter(|e| matches!(e, Effect::Run(..)));
         runs.count() as u64
     }
 
     /// Returns a request's refusal.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
-        self.out.iter().find_map(|effect| match effect {
+        self.effects.iter().find_map(|effect| match effect {
             Effect::Refuse(of, problem) | Effect::Cut(of, problem) if *of == id => Some(&**problem),
             _ => None,
         })
@@ -399,18 +404,18 @@
     /// Returns whether the end of a request's answer went out.
     pub(crate) fn released(&self, id: RequestId) -> bool {
         let release = |effect: &Effect| matches!(effect, Effect::Release(of) if *of == id);
-        self.out.iter().any(release)
+        self.effects.iter().any(release)
     }
 
     /// Returns whether a request's answer was cut.
     pub(crate) fn cut(&self, id: RequestId) -> bool {
         let cut = |effect: &Effect| matches!(effect, Effect::Cut(of, _) if *of == id);
-        self.out.iter().any(cut)
+        self.effects.iter().any(cut)
     }
 
     /// Returns what a request was answered with from the ledger.
     pub(crate) fn replayed(&self, id: RequestId) -> Option<(u16, &[u8])> {
-        self.out.iter().find_map(|effect| match effect {
+        self.effects.iter().find_map(|effect| match effect {
             Effect::Replay(of, replay) if *of == id => Some((replay.status, &replay.body[..])),
             _ => None,
         })
@@ -453,7 +458,7 @@
             "kind": {"engine": {"models": ["demo"], "max_tokens": 1000}}, "select": {"role": ["engine"]},
         })),
         change("pool", "records", json!({
-            "kind": {"service": {"name": "records", "price": PRICE}}, "select": {"role": ["records"]},
+            "kind": {"service": {"name": "records", "price": CALL_TOKENS}}, "select": {"role": ["records"]},
         })),
         change("team", "loans", json!({"bearer": "team"})),
         change("account", "yard", json!({"keys": [KeyHash::of("yard-key").to_string()]})),
--- a/src/router/tests/commit_timing.rs
+++ b/src/router/tests/commit_timing.rs
@@ -17,7 +17,7 @@
 
 const INTERVAL: Duration = Duration::from_millis(25);
 
-const PACE: AppendTiming = AppendTiming {
+const APPEND_TIMING: AppendTiming = AppendTiming {
     interval: INTERVAL,
     timeout: Duration::from_millis(500),
 };
@@ -33,8 +33,8 @@
 }
 
 /// Starts an appender whose first batch went out at a time and was folded a millisecond later.
-fn begun(start: Instant) -> Appender<u8> {
-    let mut appender = Appender::new(Incarnation(1), PACE);
+fn appender_after_first_batch(start: Instant) -> Appender<u8> {
+    let mut appender = Appender::new(Incarnation(1), APPEND_TIMING);
     appender.push(draw(), 0);
     let first = appender.poll(start).unwrap();
     let later = start + Duration::from_millis(1);
@@ -49,7 +49,7 @@
 #[test]
 fn a_batch_takes_records_until_it_is_sent() {
     let start = Instant::now();
-    let mut appender = begun(start);
+    let mut appender = appender_after_first_batch(start);
     appender.push(draw(), 1);
     assert_eq!(appender.poll(start + INTERVAL / 2), None);
     appender.push(draw(), 2);
@@ -63,7 +63,7 @@
 #[test]
 fn a_failed_append_wakes_the_loop_when_it_may_be_sent_again() {
     let start = Instant::now();
-    let mut appender = begun(start);
+    let mut appender = appender_after_first_batch(start);
     appender.push(draw(), 1);
     let sent = appender.poll(start + INTERVAL).unwrap();
     let failed = start + INTERVAL + Duration::from_millis(1);
--- a/src/router/tests/endpoint_restart.rs
+++ b/src/router/tests/endpoint_restart.rs
@@ -6,7 +6,7 @@
 use crate::router::tests::site::entry;
 use crate::vms::VmList;
 
-fn endpoint(site: &Site, born: &str) -> Event {
+fn list_with_engine(site: &Site, born: &str) -> Event {
     let list = site.core.members.roster.list().clone();
     let mut vms = list.vms;
     let engine = entry("engine-0", 9100, &[("pool", "pool"), (BORN_LABEL, born)]);
@@ -28,19 +28,19 @@
 #[test]
 fn a_restarted_endpoint_starts_with_no_load() {
     let mut site = Site::start(1_000_000);
-    let first = endpoint(&site, "1000");
+    let first = list_with_engine(&site, "1000");
     site.tell(first);
     for _ in 0..8 {
         site.ask("stream", 100, 50);
     }
     assert!(load(&site).is_some_and(|load| load > 0));
-    let same = endpoint(&site, "1000");
+    let same = list_with_engine(&site, "1000");
     site.tell(same);
     assert!(
         load(&site).is_some_and(|load| load > 0),
         "it is the same life"
     );
-    let again = endpoint(&site, "9000");
+    let again = list_with_engine(&site, "9000");
     site.tell(again);
     assert_eq!(load(&site), Some(0));
 }
--- a/src/router/tests/fleet_clock.rs
+++ b/src/router/tests/fleet_clock.rs
@@ -8,12 +8,12 @@
 use crate::router::tests::cluster::boot_clock;
 use crate::router::tests::site::WALL;
 
-const OTHERS: usize = 8;
+const OTHER_ROUTERS: usize = 8;
 
 /// Returns a clock that knows those of other routers, which are so many seconds off.
 fn clock(now: Instant, off: &[i64]) -> FleetClock {
     let mut clock = FleetClock::new(boot_clock(1, WALL, now));
-    clock.set_peer_count(OTHERS);
+    clock.set_peer_count(OTHER_ROUTERS);
     for (number, off) in off.iter().enumerate() {
         let vm = format!("router-{number}").parse().expect("a name");
         let wall = WALL.as_secs().saturating_add_signed(*off);
@@ -70,7 +70,7 @@
         assert!(!clock.record_reading(now, &vm, WALL));
     }
     assert_eq!(clock.start_reading(now).fleet, None);
-    clock.set_peer_count(OTHERS);
+    clock.set_peer_count(OTHER_ROUTERS);
     assert_eq!(clock.reading(now).fleet, None);
 }
 
@@ -81,7 +81,7 @@
     let mut clock = clock(start, &[0; 5]);
     let now = start + Duration::from_secs(1);
     assert_eq!(clock.start_reading(now).fleet, exact(WALL));
-    for number in 0..OTHERS {
+    for number in 0..OTHER_ROUTERS {
         let vm = format!("router-{number}").parse().expect("a name");
         clock.record_reading(now, &vm, WALL);
     }
--- a/src/router/tests/heartbeats.rs
+++ b/src/router/tests/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::router::tests::site::Site;
 
 /// Returns how many heartbeats each peer was sent, and the most that went out at once.
-fn told(site: &Site) -> (IndexMap<VmId, u32>, usize) {
+fn heartbeats_sent(site: &Site) -> (IndexMap<VmId, u32>, usize) {
     let mut counts: IndexMap<VmId, u32> = IndexMap::new();
     let mut most = 0;
     for effect in &site.effects {
@@ -29,7 +29,7 @@
     site.list_routers(80);
     site.effects.clear();
     site.pass(7500);
-    let (counts, most) = told(&site);
+    let (counts, most) = heartbeats_sent(&site);
     assert!(most <= 12, "{most} at once");
     assert_eq!(counts.len(), 80, "each had a turn");
     let turns: Vec<_> = counts.values().copied().collect();
@@ -43,6 +43,6 @@
     site.list_routers(6);
     site.effects.clear();
     site.pass(5000);
-    let (counts, most) = told(&site);
+    let (counts, most) = heartbeats_sent(&site);
     assert_eq!((counts.len(), most), (6, 6));
 }
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -9,87 +9,87 @@
 use crate::router::Silence;
 use crate::router::Tuning;
 use crate::router::members::Members;
-use crate::router::tests::cluster::Bench;
-use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::Cluster;
+use crate::router::tests::cluster::LogState;
 use crate::router::tests::cluster::tuning;
 use crate::settings::EndMarker;
 
 /// Brings up two cores that hold budget, of which the first has noticed that the log is down.
-fn in_outage(change: impl Fn(Tuning) -> Tuning) -> Bench {
-    let mut bench = Bench::tuned(vec![change(tuning(0)), change(tuning(1))]);
+fn in_outage(change: impl Fn(Tuning) -> Tuning) -> Cluster {
+    let mut cluster = Cluster::with_tuning(vec![change(tuning(0)), change(tuning(1))]);
     for at in 0..2 {
-        let ask = bench.chat(&format!("before-{at}"), 1);
-        let id = bench.dispatched(at, &ask);
-        bench.whole(at, id);
+        let ask = cluster.chat(&format!("before-{at}"), 1);
+        let id = cluster.submit_and_dispatch(at, &ask);
+        cluster.complete(at, id);
     }
-    bench.pass(2000);
-    bench.log = Log::Down;
+    cluster.advance(2000);
+    cluster.log = LogState::Down;
     // What meets the outage first waits until it counts as one.
-    let ask = bench.chat("first", 1);
-    bench.arrive(0, &ask);
-    bench.pass(800);
-    assert!(bench.nodes[0].core.in_outage(bench.now));
-    bench
+    let ask = cluster.chat("first", 1);
+    cluster.submit(0, &ask);
+    cluster.advance(800);
+    assert!(cluster.nodes[0].core.in_outage(cluster.now));
+    cluster
 }
 
 /// The log is down for a while. A caller's completion is served all the same: another router keeps its claim and then its
 /// bill, so that neither is lost with this router, and the caller gets its whole answer before the log is back.
 #[test]
 fn a_completion_is_served_whole_while_a_peer_keeps_its_records() {
-    let mut bench = in_outage(|tuning| tuning);
-    let ask = bench.chat("o1", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.whole(0, id);
-    bench.pass(200);
-    assert!(bench.nodes[0].released(id));
-    assert_eq!(bench.bill("o1"), None);
-    bench.log = Log::Up;
-    bench.pass(2000);
-    assert_eq!(bench.bill("o1"), Some(23));
+    let mut cluster = in_outage(|tuning| tuning);
+    let ask = cluster.chat("o1", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.complete(0, id);
+    cluster.advance(200);
+    assert!(cluster.nodes[0].released(id));
+    assert_eq!(cluster.bill("o1"), None);
+    cluster.log = LogState::Up;
+    cluster.advance(2000);
+    assert_eq!(cluster.bill("o1"), Some(23));
 }
 
 #[test]
 fn with_hold_the_end_waits_for_the_log() {
-    let mut bench = in_outage(|tuning| Tuning {
+    let mut cluster = in_outage(|tuning| Tuning {
         marker: EndMarker::Hold,
         ..tuning
     });
-    let ask = bench.chat("o2", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.whole(0, id);
-    bench.pass(1000);
-    assert!(!bench.nodes[0].released(id));
-    bench.log = Log::Up;
-    bench.pass(2000);
-    assert!(bench.nodes[0].released(id));
-    assert_eq!(bench.bill("o2"), Some(23));
+    let ask = cluster.chat("o2", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.complete(0, id);
+    cluster.advance(1000);
+    assert!(!cluster.nodes[0].released(id));
+    cluster.log = LogState::Up;
+    cluster.advance(2000);
+    assert!(cluster.nodes[0].released(id));
+    assert_eq!(cluster.bill("o2"), Some(23));
 }
 
 /// A call that may not be repeated could be claimed by another router that reaches the log. It is refused, and nothing of
 /// it runs later.
 #[test]
 fn a_call_that_may_not_be_repeated_is_refused() {
-    let mut bench = in_outage(|tuning| tuning);
-    let ask = bench.call("o3", 1);
-    let id = bench.arrive(0, &ask);
-    bench.pass(100);
-    let refusal = bench.nodes[0].refusal(id).expect("a refusal");
+    let mut cluster = in_outage(|tuning| tuning);
+    let ask = cluster.call("o3", 1);
+    let id = cluster.submit(0, &ask);
+    cluster.advance(100);
+    let refusal = cluster.nodes[0].refusal(id).expect("a refusal");
     assert_eq!(
         (refusal.kind, refusal.ran),
         (ProblemKind::LogOutage, Ran::No)
     );
     // Without the caller's word that it is the first try, nothing proves it.
-    let again = bench.call("o3", 2);
-    let again = bench.arrive(0, &again);
-    bench.pass(100);
-    let refusal = bench.nodes[0].refusal(again).expect("a refusal");
+    let again = cluster.call("o3", 2);
+    let again = cluster.submit(0, &again);
+    cluster.advance(100);
+    let refusal = cluster.nodes[0].refusal(again).expect("a refusal");
     assert_eq!(
         (refusal.kind, refusal.ran),
         (ProblemKind::LogOutage, Ran::Unknown)
     );
-    bench.log = Log::Up;
-    bench.pass(2000);
-    assert!(bench.nodes[0].runs(id).is_empty() && bench.nodes[0].runs(again).is_empty());
+    cluster.log = LogState::Up;
+    cluster.advance(2000);
+    assert!(cluster.nodes[0].runs(id).is_empty() && cluster.nodes[0].runs(again).is_empty());
 }
 
 /// The router hears no other in the outage. Nobody would keep its records, so the end of no answer could go out: it
@@ -97,20 +97,20 @@
 #[test]
 fn without_a_keeper_a_completion_is_refused() {
     for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
-        let mut bench = in_outage(|tuning| Tuning { lean, ..tuning });
-        bench.linked = false;
-        bench.pass(4000);
-        let ask = bench.chat("o4", 1);
-        let id = bench.arrive(0, &ask);
-        bench.pass(200);
-        let refusal = bench.nodes[0].refusal(id).expect("a refusal");
+        let mut cluster = in_outage(|tuning| Tuning { lean, ..tuning });
+        cluster.connected = false;
+        cluster.advance(4000);
+        let ask = cluster.chat("o4", 1);
+        let id = cluster.submit(0, &ask);
+        cluster.advance(200);
+        let refusal = cluster.nodes[0].refusal(id).expect("a refusal");
         assert_eq!(refusal.kind, ProblemKind::LogOutage);
-        assert!(bench.nodes[0].runs(id).is_empty());
-        bench.log = Log::Up;
-        bench.linked = true;
-        bench.pass(3000);
-        assert!(bench.nodes[0].runs(id).is_empty());
-        assert_eq!(bench.bill("o4"), None);
+        assert!(cluster.nodes[0].runs(id).is_empty());
+        cluster.log = LogState::Up;
+        cluster.connected = true;
+        cluster.advance(3000);
+        assert!(cluster.nodes[0].runs(id).is_empty());
+        assert_eq!(cluster.bill("o4"), None);
     }
 }
 
@@ -118,57 +118,57 @@
 /// holds.
 #[test]
 fn no_more_is_served_than_is_held() {
-    let mut bench = in_outage(|tuning| tuning);
-    let me = bench.nodes[0].core.me;
+    let mut cluster = in_outage(|tuning| tuning);
+    let me = cluster.nodes[0].core.me;
     let team = "loans".parse().expect("a name");
-    let held = bench.ledger().holding(me, &team);
+    let held = cluster.ledger().holding(me, &team);
     let held = held.free.0 + held.claimed.0;
-    let before = bench.nodes[0].dispatches();
+    let before = cluster.nodes[0].dispatches();
     for number in 0..1500 {
-        let ask = bench.chat(&format!("much-{number}"), 1);
-        bench.arrive(0, &ask);
-        bench.pass(10);
-        bench.end_all(0);
+        let ask = cluster.chat(&format!("much-{number}"), 1);
+        cluster.submit(0, &ask);
+        cluster.advance(10);
+        cluster.complete_all(0);
     }
-    bench.pass(3000);
-    bench.end_all(0);
-    let served = bench.nodes[0].dispatches() - before;
+    cluster.advance(3000);
+    cluster.complete_all(0);
+    let served = cluster.nodes[0].dispatches() - before;
     // Each reserved 110 tokens and gave back what it did not use, 87 of them.
     assert!(served > 256, "{served} were served out of {held}");
     assert!(served * 23 <= held, "{served} of 23 out of {held}");
-    let last = bench.chat("last", 1);
-    let last = bench.arrive(0, &last);
-    bench.pass(3000);
+    let last = cluster.chat("last", 1);
+    let last = cluster.submit(0, &last);
+    cluster.advance(3000);
     assert_eq!(
-        bench.nodes[0].refusal(last).map(|p| p.kind),
+        cluster.nodes[0].refusal(last).map(|p| p.kind),
         Some(ProblemKind::LogOutage)
     );
-    bench.log = Log::Up;
-    bench.pass(5000);
-    let all = bench.nodes[0].dispatches() + bench.nodes[1].dispatches();
-    assert_eq!(bench.spent(), all * 23, "each that was served is billed");
+    cluster.log = LogState::Up;
+    cluster.advance(5000);
+    let all = cluster.nodes[0].dispatches() + cluster.nodes[1].dispatches();
+    assert_eq!(cluster.spent(), all * 23, "each that was served is billed");
 }
 
 /// The router dies in the outage with bills that only its peer keeps. When the log is back the peer appends them before it
 /// closes the dead one, so that what callers had is billed.
 #[test]
 fn a_dead_routers_bills_are_brought_by_its_peer() {
-    let mut bench = in_outage(|tuning| tuning);
-    let ask = bench.chat("o5", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.whole(0, id);
-    bench.pass(200);
-    assert!(bench.nodes[0].released(id));
-    let dead = bench.nodes[0].core.me;
-    bench.nodes.remove(0);
-    bench.log = Log::Up;
+    let mut cluster = in_outage(|tuning| tuning);
+    let ask = cluster.chat("o5", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.complete(0, id);
+    cluster.advance(200);
+    assert!(cluster.nodes[0].released(id));
+    let dead = cluster.nodes[0].core.me;
+    cluster.nodes.remove(0);
+    cluster.log = LogState::Up;
     for _ in 0..80 {
         let vm = "router-0".parse().expect("a name");
-        bench.tell(0, Event::Unheard(vm, Silence::Refused));
-        bench.pass(100);
+        cluster.handle(0, Event::Unheard(vm, Silence::Refused));
+        cluster.advance(100);
     }
-    assert!(!bench.ledger().is_open(dead));
-    assert_eq!(bench.bill("o5"), Some(23));
+    assert!(!cluster.ledger().is_open(dead));
+    assert_eq!(cluster.bill("o5"), Some(23));
 }
 
 /// The log is down for long, and a router leaves each record with its peers. Were all that waits sent again with each
@@ -177,21 +177,25 @@
 #[test]
 fn what_is_left_with_peers_is_sent_once_or_so() {
     const REQUESTS: usize = 600;
-    let mut bench = in_outage(|tuning| tuning);
-    let before = bench.left;
+    let mut cluster = in_outage(|tuning| tuning);
+    let before = cluster.kept_bytes;
     for number in 0..REQUESTS {
-        let ask = bench.chat(&format!("long-{number}"), 1);
-        let id = bench.dispatched(0, &ask);
-        bench.whole(0, id);
-        bench.pass(100);
-        assert!(bench.nodes[0].released(id), "{number}");
+        let ask = cluster.chat(&format!("long-{number}"), 1);
+        let id = cluster.submit_and_dispatch(0, &ask);
+        cluster.complete(0, id);
+        cluster.advance(100);
+        assert!(cluster.nodes[0].released(id), "{number}");
     }
-    let each = (bench.left - before) / REQUESTS;
+    let each = (cluster.kept_bytes - before) / REQUESTS;
     assert!(each < 10_000, "{each} bytes a request");
-    bench.log = Log::Up;
-    bench.pass(5000);
+    cluster.log = LogState::Up;
+    cluster.advance(5000);
     for number in 0..REQUESTS {
-        assert_eq!(bench.bill(&format!("long-{number}")), Some(23), "{number}");
+        assert_eq!(
+            cluster.bill(&format!("long-{number}")),
+            Some(23),
+            "{number}"
+        );
     }
 }
 
@@ -199,9 +203,9 @@
 /// would count for nothing when the peer is dead, so it says that it lacks those before, and gets all.
 #[test]
 fn batches_behind_a_gap_are_not_kept() {
-    let bench = in_outage(|tuning| tuning);
-    let router = bench.nodes[0].core.me;
-    let folded = bench.nodes[1].core.ledger.router(router);
+    let cluster = in_outage(|tuning| tuning);
+    let router = cluster.nodes[0].core.me;
+    let folded = cluster.nodes[1].core.ledger.router(router);
     let folded = folded.expect("it is open").sequence;
     let left = |after: u64, count: usize| KeptBatches {
         router,
@@ -210,7 +214,7 @@
         records: 1,
         batches: vec![vec![1]; count],
     };
-    let fresh = || Members::new(bench.now, tuning(0).vm);
+    let fresh = || Members::new(cluster.now, tuning(0).vm);
     assert!(!fresh().keep(left(folded.0 + 5, 1), folded));
     assert!(fresh().keep(left(folded.0, 2), folded));
     let mut members = fresh();
--- a/src/router/tests/partition.rs
+++ b/src/router/tests/partition.rs
@@ -6,34 +6,37 @@
 use crate::router::Event;
 use crate::router::Silence;
 use crate::router::Tuning;
-use crate::router::tests::cluster::Bench;
-use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::Cluster;
+use crate::router::tests::cluster::LogState;
 use crate::router::tests::cluster::tuning;
 
-const PARTED: Duration = Duration::from_secs(60);
+const PARTITION_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn bench(lean: ConsistencyMode) -> Bench {
+fn two_routers(lean: ConsistencyMode) -> Cluster {
     let tune = |at| Tuning {
         lean,
-        parted: PARTED,
+        parted: PARTITION_TIMEOUT,
         ..tuning(at)
     };
-    Bench::tuned(vec![tune(0), tune(1)])
+    Cluster::with_tuning(vec![tune(0), tune(1)])
 }
 
 /// Lets a router be silent to the second one in one way, and returns how long it takes until it is closed.
-fn closed_after(bench: &mut Bench, silence: Silence) -> Duration {
-    let dead = bench.nodes[0].core.me;
-    bench.linked = false;
-    let begun = bench.now;
-    bench.nodes.remove(0);
-    while bench.ledger().is_open(dead) {
+fn time_to_close(cluster: &mut Cluster, silence: Silence) -> Duration {
+    let dead = cluster.nodes[0].core.me;
+    cluster.connected = false;
+    let begun = cluster.now;
+    cluster.nodes.remove(0);
+    while cluster.ledger().is_open(dead) {
         let vm = "router-0".parse().expect("a name");
-        bench.tell(0, Event::Unheard(vm, silence));
-        bench.pass(100);
-        assert!(bench.now - begun < PARTED * 3, "it is never closed");
+        cluster.handle(0, Event::Unheard(vm, silence));
+        cluster.advance(100);
+        assert!(
+            cluster.now - begun < PARTITION_TIMEOUT * 3,
+            "it is never closed"
+        );
     }
-    bench.now - begun
+    cluster.now - begun
 }
 
 /// A router whose VM says that nothing listens there is dead, and its holdings are back soon. One that accepts the
@@ -41,21 +44,24 @@
 /// partition, and keeps what it holds for as long as one lasts.
 #[test]
 fn the_time_to_close_a_silent_router_depends_on_the_kind_of_silence() {
-    let refused = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Refused);
-    let mute = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Mute);
-    let away = closed_after(&mut bench(ConsistencyMode::Strict), Silence::Unreachable);
+    let refused = time_to_close(&mut two_routers(ConsistencyMode::Strict), Silence::Refused);
+    let mute = time_to_close(&mut two_routers(ConsistencyMode::Strict), Silence::Mute);
+    let away = time_to_close(
+        &mut two_routers(ConsistencyMode::Strict),
+        Silence::Unreachable,
+    );
     assert!(refused < Duration::from_secs(3), "{refused:?}");
     assert!(
         mute >= Duration::from_secs(12) && mute < Duration::from_secs(16),
         "{mute:?}"
     );
     assert!(
-        away >= PARTED && away < PARTED + Duration::from_secs(5),
+        away >= PARTITION_TIMEOUT && away < PARTITION_TIMEOUT + Duration::from_secs(5),
         "{away:?}"
     );
     // Where refusals weigh more, one that may serve is not robbed of what it holds either.
-    let mute = closed_after(&mut bench(ConsistencyMode::Available), Silence::Mute);
-    assert!(mute >= PARTED, "{mute:?}");
+    let mute = time_to_close(&mut two_routers(ConsistencyMode::Available), Silence::Mute);
+    assert!(mute >= PARTITION_TIMEOUT, "{mute:?}");
 }
 
 /// A router is cut off from the log and from its peer. It stops beginning runs before the other side may close it: were it
@@ -65,21 +71,21 @@
 fn a_router_that_is_cut_off_stops_before_the_others_may_close_it() {
     for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
         for silence in [Silence::Mute, Silence::Unreachable] {
-            let mut one = bench(lean);
-            one.log = Log::Down;
-            one.linked = false;
-            let begun = one.now;
+            let mut cluster = two_routers(lean);
+            cluster.log = LogState::Down;
+            cluster.connected = false;
+            let begun = cluster.now;
             let mut last = begun;
-            while one.now - begun < PARTED * 2 {
+            while cluster.now - begun < PARTITION_TIMEOUT * 2 {
                 let vm = "router-1".parse().expect("a name");
-                one.tell(0, Event::Unheard(vm, silence));
-                one.pass(500);
-                if one.nodes[0].core.may_run_unclaimed(one.now) {
-                    last = one.now;
+                cluster.handle(0, Event::Unheard(vm, silence));
+                cluster.advance(500);
+                if cluster.nodes[0].core.may_run_unclaimed(cluster.now) {
+                    last = cluster.now;
                 }
             }
             let stops = last - begun;
-            let closes = closed_after(&mut bench(lean), silence);
+            let closes = time_to_close(&mut two_routers(lean), silence);
             assert!(
                 stops < closes,
                 "{lean:?} {silence:?}: {stops:?}, {closes:?}"
@@ -92,33 +98,33 @@
 /// deafness, so it counts anew.
 #[test]
 fn a_router_that_could_not_read_the_log_closes_no_peer_at_once() {
-    let mut bench = bench(ConsistencyMode::Strict);
-    let other = bench.nodes[1].core.me;
-    bench.linked = false;
-    bench.log = Log::Down;
-    bench.now += Duration::from_secs(30);
-    bench.tell(0, Event::Tick);
-    bench.log = Log::Up;
-    bench.linked = true;
-    bench.pass(1000);
-    assert!(bench.ledger().is_open(other));
-    assert!(bench.nodes[1].core.serving());
+    let mut cluster = two_routers(ConsistencyMode::Strict);
+    let other = cluster.nodes[1].core.me;
+    cluster.connected = false;
+    cluster.log = LogState::Down;
+    cluster.now += Duration::from_secs(30);
+    cluster.handle(0, Event::Tick);
+    cluster.log = LogState::Up;
+    cluster.connected = true;
+    cluster.advance(1000);
+    assert!(cluster.ledger().is_open(other));
+    assert!(cluster.nodes[1].core.serving());
 }
 
 /// The process is stopped for half a minute, as VMs are when they are moved. What lay in its sockets may have been asked
 /// elsewhere meanwhile, so it is refused without a word on whether it ran.
 #[test]
 fn a_request_buffered_during_a_pause_is_not_run() {
-    let mut bench = bench(ConsistencyMode::Strict);
-    bench.now += Duration::from_secs(30);
-    bench.tell(0, Event::Paused);
-    let ask = bench.call("paused", 1);
-    let id = bench.arrive(0, &ask);
-    bench.pass(200);
-    let refusal = bench.nodes[0].refusal(id).expect("a refusal");
+    let mut cluster = two_routers(ConsistencyMode::Strict);
+    cluster.now += Duration::from_secs(30);
+    cluster.handle(0, Event::Paused);
+    let ask = cluster.call("paused", 1);
+    let id = cluster.submit(0, &ask);
+    cluster.advance(200);
+    let refusal = cluster.nodes[0].refusal(id).expect("a refusal");
     assert_eq!(refusal.ran, crate::router::Ran::Unknown);
-    assert!(bench.nodes[0].runs(id).is_empty());
-    bench.pass(3000);
-    let later = bench.call("later", 1);
-    bench.dispatched(0, &later);
+    assert!(cluster.nodes[0].runs(id).is_empty());
+    cluster.advance(3000);
+    let later = cluster.call("later", 1);
+    cluster.submit_and_dispatch(0, &later);
 }
--- a/src/router/tests/power_loss.rs
+++ b/src/router/tests/power_loss.rs
@@ -10,23 +10,23 @@
 use crate::vms::VmEntry;
 
 /// How many other routers there are.
-const OTHERS: usize = 5;
+const OTHER_ROUTERS: usize = 5;
 
 /// What the team prepaid: a minute of its demand.
-const PREPAID: u64 = 600_000;
+const PREPAID_TOKENS: u64 = 600_000;
 
 /// What it is asked for each second.
-const DEMAND: u64 = 10_000;
+const DEMAND_PER_S: u64 = 10_000;
 
 /// How long the VMs are down.
-const DOWN: Duration = Duration::from_millis(1400);
+const DOWNTIME: Duration = Duration::from_millis(1400);
 
 /// How long the new process may not know better than it does at first.
-const SETTLED: u64 = 2000;
+const SETTLE_MS: u64 = 2000;
 
 fn vms() -> Vec<VmEntry> {
     let engine = entry("engine-0", 9100, &[("pool", "pool")]);
-    let routers = (1..=OTHERS).map(|number| {
+    let routers = (1..=OTHER_ROUTERS).map(|number| {
         let peer = format!("127.0.0.1:{}", 20_000 + number);
         let role = [("role", "router"), ("peer", peer.as_str())];
         entry(&format!("router-{number}"), 8001, &role)
@@ -40,13 +40,13 @@
     let mut used = 0;
     for tenth in 0..seconds * 10 {
         if tenth % 5 == 0 {
-            site.hear_routers(OTHERS);
+            site.hear_routers(OTHER_ROUTERS);
         }
-        let id = site.ask("stream", DEMAND / 10 - 7, 7);
+        let id = site.ask("stream", DEMAND_PER_S / 10 - 7, 7);
         site.pass(20);
         if !site.runs(id).is_empty() {
             site.tell(Event::Ended(id, whole(7)));
-            used += DEMAND / 10;
+            used += DEMAND_PER_S / 10;
         }
         site.pass(80);
     }
@@ -54,15 +54,15 @@
 }
 
 /// Has all routers lose their power, and returns how much more than was used counts as used afterwards.
-fn lost_with_power(site: &mut Site, used: u64) -> u64 {
-    site.lose_power(DOWN);
-    site.hear_routers(OTHERS);
-    site.pass(SETTLED);
-    thought_used(site) - used
+fn overcount_after_power_loss(site: &mut Site, used: u64) -> u64 {
+    site.lose_power(DOWNTIME);
+    site.hear_routers(OTHER_ROUTERS);
+    site.pass(SETTLE_MS);
+    counted_as_used(site) - used
 }
 
 /// Returns what the new process takes for used by the one before it.
-fn thought_used(site: &Site) -> u64 {
+fn counted_as_used(site: &Site) -> u64 {
     let dump = site.core.funds.dump(site.now);
     let field = &dump["teams"][0]["granted_elsewhere"];
     field.as_u64().expect("a number")
@@ -78,11 +78,11 @@
 /// clocks. So the time for which it was down, a second for the promise's age, its reserve and the haste, and not more.
 #[test]
 fn a_power_loss_costs_little_more_than_the_downtime() {
-    let mut site = Site::start_among(PREPAID, vms());
+    let mut site = Site::start_among(PREPAID_TOKENS, vms());
     let used = serve(&mut site, 10);
-    assert_eq!(used, 10 * DEMAND);
-    let lost = lost_with_power(&mut site, used);
-    let most = DEMAND * (DOWN.as_millis() as u64 + 1000) / 1000;
+    assert_eq!(used, 10 * DEMAND_PER_S);
+    let lost = overcount_after_power_loss(&mut site, used);
+    let most = DEMAND_PER_S * (DOWNTIME.as_millis() as u64 + 1000) / 1000;
     assert!(lost <= most, "{lost} of at most {most} tokens");
 }
 
@@ -91,31 +91,31 @@
 /// and the team be served more than it prepaid.
 #[test]
 fn a_clock_set_back_returns_no_used_tokens() {
-    let mut site = Site::start_ahead(PREPAID, vms(), Duration::from_secs(5));
+    let mut site = Site::start_ahead(PREPAID_TOKENS, vms(), Duration::from_secs(5));
     let mut used = serve(&mut site, 10);
     site.log = Log::Away;
     used += serve(&mut site, 4);
-    assert!(used > 13 * DEMAND, "{used} tokens");
-    site.lose_power(DOWN);
+    assert!(used > 13 * DEMAND_PER_S, "{used} tokens");
+    site.lose_power(DOWNTIME);
     site.log = Log::Up;
     site.pass(500);
-    site.hear_routers(OTHERS);
-    site.pass(SETTLED);
-    let thought = thought_used(&site);
-    assert!(thought >= used, "{thought} of {used} tokens");
+    site.hear_routers(OTHER_ROUTERS);
+    site.pass(SETTLE_MS);
+    let counted = counted_as_used(&site);
+    assert!(counted >= used, "{counted} of {used} tokens");
 }
 
 /// The same loss of power, and few other routers are heard of: their clocks may all be wrong. The VM's own counts then, with
 /// the allowance for its having been set back.
 #[test]
 fn too_few_clocks_are_not_trusted() {
-    let mut site = Site::start_among(PREPAID, vms());
+    let mut site = Site::start_among(PREPAID_TOKENS, vms());
     let used = serve(&mut site, 10);
-    site.lose_power(DOWN);
+    site.lose_power(DOWNTIME);
     site.hear_routers(1);
-    site.pass(SETTLED);
-    let lost = thought_used(&site) - used;
-    let least = DEMAND * (DOWN.as_millis() as u64 + 3000) / 1000;
+    site.pass(SETTLE_MS);
+    let lost = counted_as_used(&site) - used;
+    let least = DEMAND_PER_S * (DOWNTIME.as_millis() as u64 + 3000) / 1000;
     assert!(lost >= least, "{lost} of at least {least} tokens");
 }
 
@@ -123,13 +123,13 @@
 /// had opened was lost with the routers' power.
 #[test]
 fn a_power_loss_costs_an_idle_budget_little() {
-    let mut site = Site::start_among(PREPAID, vms());
+    let mut site = Site::start_among(PREPAID_TOKENS, vms());
     let used = serve(&mut site, 10);
     for _ in 0..120 {
-        site.hear_routers(OTHERS);
+        site.hear_routers(OTHER_ROUTERS);
         site.pass(500);
     }
-    let lost = lost_with_power(&mut site, used);
-    let most = DEMAND * (DOWN.as_millis() as u64 + 1000) / 1000;
+    let lost = overcount_after_power_loss(&mut site, used);
+    let most = DEMAND_PER_S * (DOWNTIME.as_millis() as u64 + 1000) / 1000;
     assert!(lost <= most, "{lost} of at most {most} tokens");
 }
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -17,13 +17,13 @@
 use crate::router::Silence;
 use crate::router::Usage;
 use crate::router::request::State;
-use crate::router::tests::cluster::Bench;
-use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::Cluster;
+use crate::router::tests::cluster::LogState;
 use crate::router::tests::cluster::tuning;
 use crate::tokens::Tokens;
 
 /// What the team has prepaid: enough for some of the requests.
-const BUDGET: u64 = 1_500;
+const BUDGET_TOKENS: u64 = 1_500;
 
 /// What the steps are drawn from.
 const SEED: u64 = 1;
@@ -37,8 +37,8 @@
     Ended(usize, usize, u8),
     Log(u8),
     Link(bool),
-    Pass(u16),
-    Leap(u16),
+    Advance(u16),
+    ClockJump(u16),
     Paused(usize),
     Unheard(usize, u8),
     TopUp(u8, u8),
@@ -56,11 +56,11 @@
             10..=13 => Self::Ended(at, any, a),
             14 => Self::Log(a),
             15 => Self::Link(a % 3 > 0),
-            16..=20 => Self::Pass(u16::from(a)),
+            16..=20 => Self::Advance(u16::from(a)),
             21 => match b % 4 {
-                0 => Self::Leap(u16::from(a) * 40),
+                0 => Self::ClockJump(u16::from(a) * 40),
                 1 => Self::Paused(at),
-                _ => Self::Pass(u16::from(a) * 4),
+                _ => Self::Advance(u16::from(a) * 4),
             },
             22 => Self::Unheard(at, a),
             _ => Self::TopUp(a, b),
@@ -70,66 +70,66 @@
 
 /// A run and what the test knows of it.
 struct Trial {
-    bench: Bench,
+    cluster: Cluster,
     /// The keys of the calls, by request.
     calls: IndexMap<RequestId, (String, usize)>,
     /// How many of their dispatches are known not to have reached the service.
-    missed: IndexMap<RequestId, usize>,
+    undelivered: IndexMap<RequestId, usize>,
 }
 
 impl Trial {
     fn new() -> Self {
-        let mut bench = Bench::unfunded(vec![tuning(0), tuning(1)]);
-        bench.top_up("first", BUDGET);
+        let mut cluster = Cluster::without_budget(vec![tuning(0), tuning(1)]);
+        cluster.top_up("first", BUDGET_TOKENS);
         Self {
-            bench,
+            cluster,
             calls: IndexMap::new(),
-            missed: IndexMap::new(),
+            undelivered: IndexMap::new(),
         }
     }
 
     fn step(&mut self, step: &Step) {
-        let bench = &mut self.bench;
+        let cluster = &mut self.cluster;
         match *step {
             Step::Chat(at, key, attempt) => {
-                let ask = bench.chat(&format!("chat-{}", key % 12), u64::from(attempt % 4));
-                bench.arrive(at, &ask);
+                let ask = cluster.chat(&format!("chat-{}", key % 12), u64::from(attempt % 4));
+                cluster.submit(at, &ask);
             }
             Step::Call(at, key, attempt) => {
                 let key = format!("call-{}", key % 12);
-                let ask = bench.call(&key, u64::from(attempt % 4));
-                let id = bench.arrive(at, &ask);
+                let ask = cluster.call(&key, u64::from(attempt % 4));
+                let id = cluster.submit(at, &ask);
                 self.calls.insert(id, (key, at));
             }
             Step::HungUp(at, any) => {
                 if let Some(id) = self.pick(at, any) {
-                    self.bench.tell(at, Event::HungUp(id));
+                    self.cluster.handle(at, Event::HungUp(id));
                 }
             }
             Step::Ended(at, any, how) => {
                 if let Some(id) = self.pick(at, any) {
                     let end = self.end(id, how);
-                    let state = &self.bench.nodes[at].core.requests[&id].state;
+                    let state = &self.cluster.nodes[at].core.requests[&id].state;
                     let running = matches!(state, State::Running { .. });
                     if running && matches!(end, RunEnd::NotRun { .. } | RunEnd::Unsent) {
-                        *self.missed.entry(id).or_default() += 1;
+                        *self.undelivered.entry(id).or_default() += 1;
                     }
-                    self.bench.tell(at, Event::Ended(id, end));
+                    self.cluster.handle(at, Event::Ended(id, end));
                 }
             }
             Step::Log(how) => {
-                bench.log = match how % 4 {
-                    0 => Log::Down,
-                    1 => Log::LosesAnswers,
-                    _ => Log::Up,
+                cluster.log = match how % 4 {
+                    0 => LogState::Down,
+                    1 => LogState::LosesResponses,
+                    _ => LogState::Up,
                 }
             }
-            Step::Link(linked) => bench.linked = linked,
-            Step::Pass(millis) => bench.pass(u64::from(millis)),
-            Step::Leap(millis) => bench.now += Duration::from_millis(u64::from(millis)),
+            Step::Link(linked) => cluster.connected = linked,
+            Step::Advance(millis) => cluster.advance(u64::from(millis)),
+            Step::ClockJump(millis) => cluster.now += Duration::from_millis(u64::from(millis)),
             Step::Paused(at) => {
-                bench.now += Duration::from_secs(5);
-                bench.tell(at, Event::Paused);
+                cluster.now += Duration::from_secs(5);
+                cluster.handle(at, Event::Paused);
             }
             Step::Unheard(at, kind) => {
                 let vm = format!("router-{}", 1 - at).parse().expect("a name");
@@ -138,15 +138,15 @@
                     1 => Silence::Mute,
                     _ => Silence::Unreachable,
                 };
-                bench.tell(at, Event::Unheard(vm, silence));
+                cluster.handle(at, Event::Unheard(vm, silence));
             }
-            Step::TopUp(id, amount) => bench.top_up(&format!("t{}", id % 4), u64::from(amount)),
+            Step::TopUp(id, amount) => cluster.top_up(&format!("t{}", id % 4), u64::from(amount)),
         }
     }
 
     /// Picks a request that a router has in progress.
     fn pick(&self, at: usize, any: usize) -> Option<RequestId> {
-        let requests = &self.bench.nodes[at].core.requests;
+        let requests = &self.cluster.nodes[at].core.requests;
         let count = requests.len();
         let (id, _) = requests.get_index(any.checked_rem(count)?)?;
         Some(*id)
@@ -181,14 +181,14 @@
     }
 
     /// Mends all and lets it come to rest.
-    fn settle(&mut self) {
-        self.bench.log = Log::Up;
-        self.bench.linked = true;
-        self.bench.pass(3000);
+    fn recover(&mut self) {
+        self.cluster.log = LogState::Up;
+        self.cluster.connected = true;
+        self.cluster.advance(3000);
     }
 
     fn check(&self) -> Result<(), String> {
-        let ledger = self.bench.ledger();
+        let ledger = self.cluster.ledger();
         let team = "loans".parse().expect("a name");
         let state = ledger.team(&team).ok_or("no team")?;
         let held: Tokens = ledger
@@ -213,7 +213,7 @@
 
     /// What a router would reserve has to be there: after all is folded, it is what the ledger says at most.
     fn check_purses(&self, ledger: &Ledger) -> Result<(), String> {
-        for node in &self.bench.nodes {
+        for node in &self.cluster.nodes {
             let core = &node.core;
             for (team, purse) in &core.purses {
                 let free = ledger.holding(core.me, team).free;
@@ -230,9 +230,9 @@
     fn check_calls(&self) -> Result<(), String> {
         let mut ran: IndexMap<&str, usize> = IndexMap::new();
         for (id, (key, at)) in &self.calls {
-            let node = &self.bench.nodes[*at];
-            let missed = self.missed.get(id).copied().unwrap_or_default();
-            let reached = node.runs(*id).len() - missed;
+            let node = &self.cluster.nodes[*at];
+            let undelivered = self.undelivered.get(id).copied().unwrap_or_default();
+            let reached = node.runs(*id).len() - undelivered;
             let refused = node.refusal(*id);
             if reached > 0 && refused.is_some_and(|problem| problem.ran == Ran::No) {
                 return Err(format!("{key} was refused as not run and ran"));
@@ -246,18 +246,18 @@
     }
 }
 
-fn holds(steps: Vec<Step>) -> Result<(), String> {
+fn invariants_hold(steps: Vec<Step>) -> Result<(), String> {
     let mut trial = Trial::new();
     for step in &steps {
         trial.step(step);
     }
-    trial.settle();
+    trial.recover();
     let exits = |effect: &Effect| matches!(effect, Effect::Exit { .. });
     if trial
-        .bench
+        .cluster
         .nodes
         .iter()
-        .any(|node| node.out.iter().any(exits))
+        .any(|node| node.effects.iter().any(exits))
     {
         return Err("it ended".to_owned());
     }
@@ -270,5 +270,5 @@
     QuickCheck::new()
         .tests(200)
         .rng(Gen::from_size_and_seed(120, SEED))
-        .quickcheck(holds as fn(Vec<Step>) -> Result<(), String>);
+        .quickcheck(invariants_hold as fn(Vec<Step>) -> Result<(), String>);
 }
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -13,82 +13,82 @@
 use crate::router::RunEnd;
 use crate::router::Usage;
 use crate::router::request::State;
-use crate::router::tests::cluster::Bench;
-use crate::router::tests::cluster::Log;
+use crate::router::tests::cluster::Cluster;
+use crate::router::tests::cluster::LogState;
 use crate::tokens::Tokens;
 
 /// Writes what a third router, of which this test is the hand, appends to close the first one.
-fn close(bench: &mut Bench) {
+fn close(cluster: &mut Cluster) {
     let closer = Incarnation(99);
     let open = Record::Open {
         vm: "router-9".parse().expect("a name"),
         domain: "domain-9".parse().expect("a name"),
         address: "127.0.0.1:8009".to_owned(),
     };
-    let router = bench.nodes[0].core.me;
+    let router = cluster.nodes[0].core.me;
     let batch = Batch {
         router: closer,
         sequence: Sequence(1),
         records: vec![open, Record::Close { router }],
     };
-    bench.records.push(encode(&batch));
+    cluster.records.push(encode(&batch));
 }
 
-fn closed(bench: &mut Bench) {
-    let old = bench.nodes[0].core.me;
-    close(bench);
-    bench.pass(500);
-    assert_ne!(bench.nodes[0].core.me, old);
-    assert!(bench.nodes[0].core.serving(), "it begins anew");
+fn closed(cluster: &mut Cluster) {
+    let old = cluster.nodes[0].core.me;
+    close(cluster);
+    cluster.advance(500);
+    assert_ne!(cluster.nodes[0].core.me, old);
+    assert!(cluster.nodes[0].core.serving(), "it begins anew");
 }
 
 /// A stream runs when its router is closed by error. What it used can't be billed any more, so its caller must see that
 /// the answer is not whole; sent again, it is served and billed once.
 #[test]
 fn a_running_stream_is_cut_and_its_retry_is_billed_once() {
-    let mut bench = Bench::start(2);
-    let ask = bench.chat("r1", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::Started(id));
-    closed(&mut bench);
-    assert!(bench.nodes[0].cut(id));
+    let mut cluster = Cluster::start(2);
+    let ask = cluster.chat("r1", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.handle(0, Event::Started(id));
+    closed(&mut cluster);
+    assert!(cluster.nodes[0].cut(id));
     assert_eq!(
-        bench.nodes[0].refusal(id).map(|p| p.ran),
+        cluster.nodes[0].refusal(id).map(|p| p.ran),
         Some(Ran::Unknown)
     );
     // The engine's end comes all the same, and changes nothing.
-    bench.whole(0, id);
-    bench.pass(300);
-    assert!(!bench.nodes[0].released(id));
-    assert_eq!(bench.bill("r1"), None);
-    let retry = bench.chat("r1", 2);
-    let retry = bench.dispatched(0, &retry);
-    bench.whole(0, retry);
-    bench.pass(300);
-    assert!(bench.nodes[0].released(retry));
-    assert_eq!(bench.bill("r1"), Some(23));
-    assert_eq!(bench.spent(), 23);
+    cluster.complete(0, id);
+    cluster.advance(300);
+    assert!(!cluster.nodes[0].released(id));
+    assert_eq!(cluster.bill("r1"), None);
+    let retry = cluster.chat("r1", 2);
+    let retry = cluster.submit_and_dispatch(0, &retry);
+    cluster.complete(0, retry);
+    cluster.advance(300);
+    assert!(cluster.nodes[0].released(retry));
+    assert_eq!(cluster.bill("r1"), Some(23));
+    assert_eq!(cluster.spent(), 23);
 }
 
 /// The same with a call that may not be repeated. The service has it, and nobody can tell the outcome; were the retry run,
 /// it would take effect twice.
 #[test]
 fn a_running_call_is_unknown_for_good() {
-    let mut bench = Bench::start(2);
-    let ask = bench.call("r2", 1);
-    let id = bench.dispatched(0, &ask);
-    closed(&mut bench);
-    assert!(bench.nodes[0].cut(id));
+    let mut cluster = Cluster::start(2);
+    let ask = cluster.call("r2", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    closed(&mut cluster);
+    assert!(cluster.nodes[0].cut(id));
     for at in 0..2 {
-        let retry = bench.call("r2", 2);
-        let retry = bench.arrive(at, &retry);
-        bench.pass(300);
-        let refusal = bench.nodes[at].refusal(retry).expect("a refusal");
+        let retry = cluster.call("r2", 2);
+        let retry = cluster.submit(at, &retry);
+        cluster.advance(300);
+        let refusal = cluster.nodes[at].refusal(retry).expect("a refusal");
         assert_eq!(
             (refusal.kind, refusal.ran),
             (ProblemKind::OutcomeUnknown, Ran::Unknown)
         );
-        assert!(bench.nodes[at].runs(retry).is_empty());
+        assert!(cluster.nodes[at].runs(retry).is_empty());
     }
 }
 
@@ -97,27 +97,27 @@
 #[test]
 fn what_was_not_dispatched_is_claimed_anew() {
     for (call, warm) in [(true, true), (true, false), (false, true), (false, false)] {
-        let mut bench = Bench::start(2);
+        let mut cluster = Cluster::start(2);
         if warm {
-            let first = bench.chat("warm", 1);
-            let first = bench.dispatched(0, &first);
-            bench.whole(0, first);
-            bench.pass(2000);
+            let first = cluster.chat("warm", 1);
+            let first = cluster.submit_and_dispatch(0, &first);
+            cluster.complete(0, first);
+            cluster.advance(2000);
         }
-        let before = bench.spent();
-        let mut ask = bench.chat("r3", 1);
+        let before = cluster.spent();
+        let mut ask = cluster.chat("r3", 1);
         if call {
-            ask = bench.call("r3", 1);
+            ask = cluster.call("r3", 1);
         }
-        close(&mut bench);
-        let id = bench.arrive(0, &ask);
-        let state = &bench.nodes[0].core.requests[&id].state;
+        close(&mut cluster);
+        let id = cluster.submit(0, &ask);
+        let state = &cluster.nodes[0].core.requests[&id].state;
         match warm {
             true => assert!(matches!(state, State::Claiming { .. }), "{state:?}"),
             false => assert!(matches!(state, State::Funding { .. }), "{state:?}"),
         }
-        bench.pass(1000);
-        assert_eq!(bench.nodes[0].runs(id).len(), 1);
+        cluster.advance(1000);
+        assert_eq!(cluster.nodes[0].runs(id).len(), 1);
         let usage = Usage {
             prompt: Tokens(1),
             answer: Tokens(4),
@@ -129,10 +129,10 @@
             },
             false => RunEnd::Whole { usage },
         };
-        bench.tell(0, Event::Ended(id, end));
-        bench.pass(300);
-        assert!(bench.nodes[0].released(id));
-        assert_eq!(bench.spent() - before, 5);
+        cluster.handle(0, Event::Ended(id, end));
+        cluster.advance(300);
+        assert!(cluster.nodes[0].released(id));
+        assert_eq!(cluster.spent() - before, 5);
     }
 }
 
@@ -140,84 +140,90 @@
 /// the request any more, and it must not stay in progress: its retry would wait for it.
 #[test]
 fn what_was_given_up_is_forgotten() {
-    let mut bench = Bench::start(2);
-    let first = bench.chat("warm", 1);
-    let first = bench.dispatched(0, &first);
-    bench.whole(0, first);
-    bench.pass(2000);
-    let ask = bench.call("r7", 1);
-    close(&mut bench);
-    let id = bench.arrive(0, &ask);
-    bench.tell(0, Event::HungUp(id));
-    let state = &bench.nodes[0].core.requests[&id].state;
+    let mut cluster = Cluster::start(2);
+    let first = cluster.chat("warm", 1);
+    let first = cluster.submit_and_dispatch(0, &first);
+    cluster.complete(0, first);
+    cluster.advance(2000);
+    let ask = cluster.call("r7", 1);
+    close(&mut cluster);
+    let id = cluster.submit(0, &ask);
+    cluster.handle(0, Event::HungUp(id));
+    let state = &cluster.nodes[0].core.requests[&id].state;
     assert!(matches!(state, State::Abandoned), "{state:?}");
-    bench.pass(1000);
-    assert!(bench.nodes[0].core.requests.is_empty());
-    let retry = bench.call("r7", 2);
-    bench.dispatched(0, &retry);
+    cluster.advance(1000);
+    assert!(cluster.nodes[0].core.requests.is_empty());
+    let retry = cluster.call("r7", 2);
+    cluster.submit_and_dispatch(0, &retry);
 }
 
 /// A bill is on its way, and the close stands before it in the log. The whole answer but its end is with the caller; the
 /// end must not follow.
 #[test]
 fn a_bill_that_comes_behind_the_close_cuts_its_answer() {
-    let mut bench = Bench::start(2);
-    let ask = bench.chat("r4", 1);
-    let id = bench.dispatched(0, &ask);
-    close(&mut bench);
-    bench.whole(0, id);
-    bench.pass(500);
-    assert!(bench.nodes[0].cut(id));
-    assert!(!bench.nodes[0].released(id));
-    assert_eq!(bench.spent(), 0);
+    let mut cluster = Cluster::start(2);
+    let ask = cluster.chat("r4", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    close(&mut cluster);
+    cluster.complete(0, id);
+    cluster.advance(500);
+    assert!(cluster.nodes[0].cut(id));
+    assert!(!cluster.nodes[0].released(id));
+    assert_eq!(cluster.spent(), 0);
 }
 
 /// A bill that stands before the close is as good as any.
 #[test]
 fn a_bill_that_comes_before_the_close_counts() {
-    let mut bench = Bench::start(2);
-    let ask = bench.chat("r5", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.whole(0, id);
-    bench.now += super::cluster::COMMIT * 4;
-    bench.tell(0, Event::Tick);
-    close(&mut bench);
-    bench.pass(500);
-    assert!(bench.nodes[0].released(id));
-    assert!(!bench.nodes[0].cut(id));
-    assert_eq!(bench.spent(), 23);
+    let mut cluster = Cluster::start(2);
+    let ask = cluster.chat("r5", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.complete(0, id);
+    cluster.now += super::cluster::COMMIT_INTERVAL * 4;
+    cluster.handle(0, Event::Tick);
+    close(&mut cluster);
+    cluster.advance(500);
+    assert!(cluster.nodes[0].released(id));
+    assert!(!cluster.nodes[0].cut(id));
+    assert_eq!(cluster.spent(), 23);
 }
 
 /// The requests that wait, for an endpoint or for another attempt, are not touched by a close.
 #[test]
 fn what_waits_goes_on() {
-    let mut bench = Bench::start(2);
+    let mut cluster = Cluster::start(2);
     // The account's and the endpoints' limits let some of these run and have others wait.
     let ids: Vec<RequestId> = (0..200)
         .map(|number| {
-            let ask = bench.chat(&format!("w{number}"), 1);
-            bench.arrive(0, &ask)
+            let ask = cluster.chat(&format!("w{number}"), 1);
+            cluster.submit(0, &ask)
         })
         .collect();
-    let holder = bench.call("contended", 1);
-    bench.dispatched(1, &holder);
-    let waiter = bench.call("contended", 2);
-    let waiter = bench.arrive(0, &waiter);
-    bench.pass(300);
+    let holder = cluster.call("contended", 1);
+    cluster.submit_and_dispatch(1, &holder);
+    let waiter = cluster.call("contended", 2);
+    let waiter = cluster.submit(0, &waiter);
+    cluster.advance(300);
     let waiting: Vec<_> = ids
         .iter()
         .copied()
-        .filter(|id| bench.nodes[0].runs(*id).is_empty() && bench.nodes[0].refusal(*id).is_none())
+        .filter(|id| {
+            cluster.nodes[0].runs(*id).is_empty() && cluster.nodes[0].refusal(*id).is_none()
+        })
         .collect();
     assert!(!waiting.is_empty());
-    closed(&mut bench);
-    assert!(bench.nodes[0].refusal(waiter).is_none());
+    closed(&mut cluster);
+    assert!(cluster.nodes[0].refusal(waiter).is_none());
     // The cut ones left their places.
-    bench.pass(500);
-    assert!(waiting.iter().any(|id| bench.nodes[0].runs(*id).len() == 1));
+    cluster.advance(500);
+    assert!(
+        waiting
+            .iter()
+            .any(|id| cluster.nodes[0].runs(*id).len() == 1)
+    );
     for id in waiting {
-        assert!(bench.nodes[0].runs(id).len() <= 1);
-        assert!(!bench.nodes[0].cut(id));
+        assert!(cluster.nodes[0].runs(id).len() <= 1);
+        assert!(!cluster.nodes[0].cut(id));
     }
 }
 
@@ -225,17 +231,17 @@
 /// proved.
 #[test]
 fn a_refusal_whose_proof_is_lost_is_unknown() {
-    let mut bench = Bench::start(2);
-    let mut ask = bench.chat("r6", 2);
+    let mut cluster = Cluster::start(2);
+    let mut ask = cluster.chat("r6", 2);
     ask.patience = Some(std::time::Duration::from_millis(1));
-    close(&mut bench);
+    close(&mut cluster);
     // Its deadline passes at the first tick, before the close is read.
-    bench.log = Log::Down;
-    let id = bench.arrive(0, &ask);
-    bench.pass(10);
-    bench.log = Log::Up;
-    bench.pass(500);
-    let refusal = bench.nodes[0].refusal(id);
+    cluster.log = LogState::Down;
+    let id = cluster.submit(0, &ask);
+    cluster.advance(10);
+    cluster.log = LogState::Up;
+    cluster.advance(500);
+    let refusal = cluster.nodes[0].refusal(id);
     assert!(
         refusal.is_none_or(|problem| problem.ran != Ran::No),
         "{refusal:?}"
@@ -245,19 +251,26 @@
 /// A top-up was under way. It counts once by its name, so it is sent again, and the operator hears that it was applied.
 #[test]
 fn a_top_up_is_sent_again() {
-    let mut bench = Bench::start(2);
-    close(&mut bench);
-    let before = bench
+    let mut cluster = Cluster::start(2);
+    close(&mut cluster);
+    let before = cluster
         .ledger()
         .team(&"loans".parse().expect("a name"))
         .map(|t| t.prepaid);
-    bench.top_up("second", 50);
-    bench.pass(500);
-    let after = bench
+    cluster.top_up("second", 50);
+    cluster.advance(500);
+    let after = cluster
         .ledger()
         .team(&"loans".parse().expect("a name"))
         .map(|t| t.prepaid);
     assert_eq!(after, before.map(|tokens| tokens + Tokens(50)));
     let applied = |e: &Effect| matches!(e, Effect::Answer(_, 200, body) if body["applied"] == true);
-    assert!(bench.nodes[0].out.iter().filter(|e| applied(e)).count() >= 2);
+    assert!(
+        cluster.nodes[0]
+            .effects
+            .iter()
+            .filter(|e| applied(e))
+            .count()
+            >= 2
+    );
 }
--- a/src/router/tests/stale_config.rs
+++ b/src/router/tests/stale_config.rs
@@ -17,16 +17,16 @@
 use crate::router::tests::site::table;
 
 /// How long a router may go on with a configuration that its peers have replaced, if one of them answers.
-const CATCH_UP: Duration = Duration::from_millis(500);
+const STALE_LIMIT: Duration = Duration::from_millis(500);
 
 /// Returns a router that has configuration 1, and whose peer has another one.
 fn site_with_peer_at(version: u64) -> Site {
     let mut site = Site::start(1000);
-    hear(&mut site, version);
+    receive_heartbeat(&mut site, version);
     site
 }
 
-fn hear(site: &mut Site, version: u64) {
+fn receive_heartbeat(site: &mut Site, version: u64) {
     let beat = Heartbeat {
         table: TableVersion(version),
         ..site.peer_beat(0)
@@ -35,7 +35,7 @@
 }
 
 /// Returns how many times a peer was asked for its configuration.
-fn fetches(site: &Site) -> usize {
+fn table_fetches(site: &Site) -> usize {
     let fetch = |effect: &&Effect| matches!(effect, Effect::FetchTable(_));
     site.effects.iter().filter(fetch).count()
 }
@@ -46,17 +46,17 @@
     (problem.kind, problem.ran, problem.retry.is_some())
 }
 
-const BEHIND: (ProblemKind, Ran, bool) = (ProblemKind::ConfigBehind, Ran::No, true);
+const CONFIG_BEHIND: (ProblemKind, Ran, bool) = (ProblemKind::ConfigBehind, Ran::No, true);
 
 /// Guards against a router that goes on with an old configuration because its calls to the store come late.
 #[test]
 fn a_newer_configuration_is_fetched_from_a_peer() {
     let mut site = site_with_peer_at(2);
-    site.pass(CATCH_UP.as_millis() as u64);
-    assert_eq!(fetches(&site), 1);
+    site.pass(STALE_LIMIT.as_millis() as u64);
+    assert_eq!(table_fetches(&site), 1);
     site.tell(Event::Table(table(2, 1000)));
     site.pass(5000);
-    assert_eq!(fetches(&site), 1);
+    assert_eq!(table_fetches(&site), 1);
 }
 
 /// Guards against every router asking its peers at each change, though the store brings it a moment later.
@@ -66,7 +66,7 @@
     site.pass(100);
     site.tell(Event::Table(table(2, 1000)));
     site.pass(2000);
-    assert_eq!(fetches(&site), 0);
+    assert_eq!(table_fetches(&site), 0);
 }
 
 /// Guards against waiting for ever for a peer that does not answer.
@@ -74,7 +74,7 @@
 fn a_lost_configuration_is_fetched_again() {
     let mut site = site_with_peer_at(2);
     site.pass(3000);
-    assert!(fetches(&site) > 1);
+    assert!(table_fetches(&site) > 1);
 }
 
 /// Guards against waiting a second after a peer that refused, or can't be asked, though others have the configuration.
@@ -93,11 +93,11 @@
         };
         site.tell(Event::Heard(beat));
     }
-    site.pass(CATCH_UP.as_millis() as u64);
-    assert_eq!(fetches(&site), 1);
+    site.pass(STALE_LIMIT.as_millis() as u64);
+    assert_eq!(table_fetches(&site), 1);
     let refused = "router-1".parse().expect("a name");
     site.tell(Event::TableUnsent(refused));
-    assert_eq!(fetches(&site), 2);
+    assert_eq!(table_fetches(&site), 2);
 }
 
 /// Guards against 404 for a route that a newer configuration has.
@@ -105,7 +105,7 @@
 fn an_unknown_route_is_not_denied_by_an_old_configuration() {
     let mut site = site_with_peer_at(2);
     let id = site.ask("added", 100, 50);
-    assert_eq!(refusal(&site, id), BEHIND);
+    assert_eq!(refusal(&site, id), CONFIG_BEHIND);
     site.tell(Event::Table(table(2, 1000)));
     let id = site.ask("added", 100, 50);
     assert_eq!(refusal(&site, id), (ProblemKind::NoRoute, Ran::No, false));
@@ -116,7 +116,7 @@
 fn an_unknown_key_is_not_denied_by_an_old_configuration() {
     let mut site = site_with_peer_at(2);
     let id = site.ask_as("added", "stream", 100, 50);
-    assert_eq!(refusal(&site, id), BEHIND);
+    assert_eq!(refusal(&site, id), CONFIG_BEHIND);
 }
 
 /// Guards against 402 for a budget that a newer configuration has raised.
@@ -136,7 +136,7 @@
     site.log = Log::Away;
     site.pass(CONFIRM.as_millis() as u64 + 100);
     let id = site.ask("added", 100, 50);
-    assert_eq!(refusal(&site, id), BEHIND);
+    assert_eq!(refusal(&site, id), CONFIG_BEHIND);
     site.log = Log::Up;
     site.pass(100);
     let id = site.ask("added", 100, 50);
@@ -152,7 +152,7 @@
     let old = site.now - CONFIRM - Duration::from_millis(20);
     site.tell(Event::TableConfirmed(old));
     let id = site.ask("added", 100, 50);
-    assert_eq!(refusal(&site, id), BEHIND);
+    assert_eq!(refusal(&site, id), CONFIG_BEHIND);
 }
 
 /// Guards against refusing requests that the configuration at hand allows.
