--- a/src/router/tests/caller_hang_up.rs
+++ b/src/router/tests/caller_hang_up.rs
@@ -1,4 +1,4 @@
-//! Callers that go away.
+//! Callers that disconnect before their answer is complete.
 
 use crate::ledger::Outcome;
 use crate::router::Event;
@@ -8,8 +8,8 @@
 use crate::router::tests::cluster::Cluster;
 use crate::tokens::Tokens;
 
-/// A caller hangs up while its call's claim is on its way. Nothing was sent to the service, so nothing is billed and the
-/// retry runs.
+/// A caller hangs up while its call's claim is still being appended. Nothing was sent to the service, so nothing is
+/// billed and a retry runs.
 #[test]
 fn a_hang_up_before_the_verdict_releases_the_claim() {
     let mut cluster = Cluster::start(1);
@@ -24,9 +24,9 @@
     cluster.submit_and_dispatch(0, &retry);
 }
 
-/// The core dispatches a call in the moment in which its caller hangs up: the task that was to send it is gone. Nobody
-/// sends it, and no answer ever comes. Were its claim left standing, each retry would be told until the router's end that
-/// the call is in progress.
+/// The core dispatches a call just as its caller hangs up, and the task that was to send it no longer exists. The call
+/// is never sent and never answered. If its claim were kept, every retry would be told that the call is in progress for
+/// as long as the router runs.
 #[test]
 fn an_unsent_dispatch_releases_its_claim() {
     for hung_up_first in [true, false] {
@@ -55,8 +55,8 @@
     }
 }
 
-/// The first endpoint broke over a completion after it had used some tokens, and the caller hung up before the next one
-/// was asked. What was used is billed once.
+/// The first endpoint failed during a completion after using some tokens, and the caller hung up before the request
+/// went to the next endpoint. The used tokens are billed once.
 #[test]
 fn an_earlier_runs_usage_is_billed_when_the_next_is_unsent() {
     let mut cluster = Cluster::start(1);
--- a/src/router/tests/cluster.rs
+++ b/src/router/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! One core or two, and a log in memory between them. It is no simulator: time passes and the log answers only when a test
-//! says so.
+//! An in-memory cluster of one or two router cores that share a log. Time advances and the log answers only when a test
+//! asks for it; nothing is simulated in between.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -44,48 +44,48 @@
 use crate::vms::VmList;
 use crate::vms::VmState;
 
-/// The commit interval of the cores.
+/// The group commit interval of the cores.
 pub(crate) const COMMIT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long a batch may go without its verdict.
+/// How long a batch may wait for its verdict before the log counts as unavailable.
 pub(crate) const OUTAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a call costs.
+/// The price of one service call.
 pub(crate) const CALL_TOKENS: u64 = 5;
 
-/// What the team has prepaid, unless a test says otherwise.
+/// The team's prepaid budget, unless a test sets another one.
 pub(crate) const BUDGET_TOKENS: u64 = 100_000;
 
 /// How the log service answers appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LogState {
-    /// They take effect and are answered.
+    /// Appends are stored and answered.
     Up,
-    /// They take effect, and the answer is lost.
+    /// Appends are stored, but the responses are lost.
     LosesResponses,
-    /// They neither take effect nor are answered.
+    /// Appends are neither stored nor answered.
     Down,
 }
 
 /// One router.
 pub(crate) struct Node {
     pub(crate) core: Core,
-    /// What it did that is not the log's or the peers' affair.
+    /// Effects that concern neither the log nor the peers.
     pub(crate) effects: Vec<Effect>,
-    /// The batches that it sent off, one for each try.
+    /// The batches it sent, one entry per attempt.
     pub(crate) sent: Vec<Vec<u8>>,
     next_offset: usize,
 }
 
-/// One core or two, and a log.
+/// One or two router cores and a shared in-memory log.
 pub(crate) struct Cluster {
     pub(crate) now: Instant,
     pub(crate) nodes: Vec<Node>,
     pub(crate) log: LogState,
-    /// Whether the routers hear each other.
+    /// Whether the routers can reach each other.
     pub(crate) connected: bool,
     pub(crate) records: Vec<Vec<u8>>,
-    /// How many bytes the routers have left with each other.
+    /// Total size of the batches that the routers have replicated to each other.
     pub(crate) kept_bytes: usize,
     started: Instant,
     next_id: u64,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the clock of a VM's boot, an hour after which a process started, at a time of day.
+/// Returns the clock of a process that started one hour after its VM booted, at the given wall-clock time.
 pub(crate) fn boot_clock(boot: u64, wall: Duration, started: Instant) -> BootClock {
     let start = Moment {
         host: HostId(1),
@@ -129,7 +129,7 @@
 }
 
 impl Cluster {
-    /// Brings up so many cores, which serve, and gives the team its budget.
+    /// Starts the given number of cores, checks that they serve, and funds the team.
     pub(crate) fn start(routers: usize) -> Self {
         Self::with_tuning((0..routers).map(tuning).collect())
     }
@@ -187,7 +187,7 @@
         self.advance(200);
     }
 
-    /// Tells a core of an event and carries out what it wants of the log and of the other.
+    /// Passes an event to a core and carries out the effects that concern the log and the other core.
     pub(crate) fn handle(&mut self, at: usize, event: Event) {
         let effects = self.nodes[at].core.handle(self.now, event);
         for effect in effects {
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Shows a core what the log has that it has not read.
+    /// Delivers to a core the log entries that it has not read yet.
     pub(crate) fn read_log(&mut self, at: usize) {
         if self.log == LogState::Down {
             return;
@@ -260,11 +260,11 @@
             })
             .collect();
         self.nodes[at].next_offset = self.records.len();
-        // A reader that waits for records is answered after a while also where there are none.
+        // A long poll for records also returns, empty, when there are none.
         self.handle(at, Event::LedgerEntries(entries));
     }
 
-    /// Lets time pass, in steps of the loop's tick, with the log read at each.
+    /// Advances the time in 5 ms ticks; each core reads the log at every tick.
     pub(crate) fn advance(&mut self, millis: u64) {
         let step = 5;
         for _ in 0..millis.div_ceil(step) {
@@ -276,13 +276,13 @@
         }
     }
 
-    /// Names a request.
+    /// Returns a request ID that was not used before.
     pub(crate) fn next_request_id(&mut self) -> RequestId {
         self.next_id += 1;
         RequestId(self.next_id)
     }
 
-    /// A completion of at most 100 tokens.
+    /// Returns a request for a completion of at most 100 tokens.
     pub(crate) fn chat(&mut self, key: &str, attempt: u64) -> Arrival {
         Arrival {
             id: self.next_request_id(),
@@ -302,7 +302,7 @@
         }
     }
 
-    /// A call that may not be repeated.
+    /// Returns a call to a service whose calls must not be repeated.
     pub(crate) fn call(&mut self, key: &str, attempt: u64) -> Arrival {
         Arrival {
             work: Work::Call {
@@ -313,13 +313,13 @@
         }
     }
 
-    /// Has a request arrive at a router.
+    /// Submits a request to a router.
     pub(crate) fn submit(&mut self, at: usize, arrival: &Arrival) -> RequestId {
         self.handle(at, Event::Arrived(Box::new(arrival.clone())));
         arrival.id
     }
 
-    /// Has a request arrive, and waits until it was dispatched.
+    /// Submits a request and waits until it is dispatched.
     pub(crate) fn submit_and_dispatch(&mut self, at: usize, arrival: &Arrival) -> RequestId {
         let id = self.submit(at, arrival);
         self.advance(200);
@@ -332,7 +332,7 @@
         id
     }
 
-    /// Ends a completion's run whole.
+    /// Ends a completion's run with its full answer.
     pub(crate) fn complete(&mut self, at: usize, id: RequestId) {
         let usage = Usage {
             prompt: Tokens(3),
@@ -341,13 +341,13 @@
         self.handle(at, Event::Ended(id, RunEnd::Whole { usage }));
     }
 
-    /// Ends all runs of a router whole.
+    /// Ends all of a router's runs with their full answers.
     pub(crate) fn complete_all(&mut self, at: usize) {
         let ids: Vec<_> = self.nodes[at].core.requests.keys().copied().collect();
         ids.into_iter().for_each(|id| self.complete(at, id));
     }
 
-    /// Folds the whole log anew.
+    /// Builds the ledger from all records of the log.
     pub(crate) fn ledger(&self) -> Ledger {
         let mut ledger = Ledger::default();
         for (offset, bytes) in self.records.iter().enumerate() {
@@ -365,12 +365,12 @@
         self.ledger().key(&key).cloned()
     }
 
-    /// Returns what the log says that a request was billed.
+    /// Returns the amount billed for a request, by the log.
     pub(crate) fn bill(&self, key: &str) -> Option<u64> {
         Some(self.key_state(key)?.bill?.amount.0)
     }
 
-    /// Returns what the log says that the team spent.
+    /// Returns the amount that the team has spent, by the log.
     pub(crate) fn spent(&self) -> u64 {
         let team = "loans".parse().expect("a name");
         self.ledger().team(&team).map_or(0, |team| team.spent.0)
@@ -378,7 +378,7 @@
 }
 
 impl Node {
-    /// Returns a request's dispatches.
+    /// Returns the dispatches of a request.
     pub(crate) fn runs(&self, id: RequestId) -> Vec<&Run> {
         let runs = self.effects.iter().filter_map(|effect| match effect {
             Effect::Run(of, run) if *of == id => Some(&**run),
@@ -387,13 +387,12 @@
         runs.collect()
     }
 
-    /// Counts all dispatches.
     pub(crate) fn dispatches(&self) -> u64 {
         let runs = self.effects.iter().filter(|e| matches!(e, Effect::Run(..)));
         runs.count() as u64
     }
 
-    /// Returns a request's refusal.
+    /// Returns the problem with which a request was refused or cut.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
         self.effects.iter().find_map(|effect| match effect {
             Effect::Refuse(of, problem) | Effect::Cut(of, problem) if *of == id => Some(&**problem),
@@ -401,19 +400,19 @@
         })
     }
 
-    /// Returns whether the end of a request's answer went out.
+    /// Returns whether the end of a request's answer was released to the caller.
     pub(crate) fn released(&self, id: RequestId) -> bool {
         let release = |effect: &Effect| matches!(effect, Effect::Release(of) if *of == id);
         self.effects.iter().any(release)
     }
 
-    /// Returns whether a request's answer was cut.
+    /// Returns whether a request's answer was cut off.
     pub(crate) fn cut(&self, id: RequestId) -> bool {
         let cut = |effect: &Effect| matches!(effect, Effect::Cut(of, _) if *of == id);
         self.effects.iter().any(cut)
     }
 
-    /// Returns what a request was answered with from the ledger.
+    /// Returns the status and body replayed from the ledger for a request.
     pub(crate) fn replayed(&self, id: RequestId) -> Option<(u16, &[u8])> {
         self.effects.iter().find_map(|effect| match effect {
             Effect::Replay(of, replay) if *of == id => Some((replay.status, &replay.body[..])),
--- a/src/router/tests/commit_timing.rs
+++ b/src/router/tests/commit_timing.rs
@@ -1,4 +1,4 @@
-//! The group commit's pace.
+//! When group commit sends and resends batches.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -32,7 +32,7 @@
     decode(&append.bytes).unwrap()
 }
 
-/// Starts an appender whose first batch went out at a time and was folded a millisecond later.
+/// Returns an appender whose first batch was sent at `start` and got its verdict one millisecond later.
 fn appender_after_first_batch(start: Instant) -> Appender<u8> {
     let mut appender = Appender::new(Incarnation(1), APPEND_TIMING);
     appender.push(draw(), 0);
@@ -44,8 +44,9 @@
     appender
 }
 
-/// A request arrives just behind a batch, and others before the next one is due. Were the next batch closed with the first
-/// of them in it, the others would wait for the one after, and each first token would come 25 ms later.
+/// A request arrives just after a batch was sent, and others before the next one is due. If the next batch were closed
+/// with only the first of them, the others would wait for the batch after it, and their first tokens would come 25 ms
+/// later.
 #[test]
 fn a_batch_takes_records_until_it_is_sent() {
     let start = Instant::now();
@@ -58,8 +59,8 @@
     assert_eq!(batch(&sent).records.len(), 2);
 }
 
-/// The log service refuses an append at once. A loop that is woken before the append may be sent again turns without rest
-/// until then, and an idle router in a log outage takes most of a core.
+/// The log service refuses an append immediately. If the event loop were woken before the append may be sent again, it
+/// would spin until then, and an idle router would use most of a CPU core during a log outage.
 #[test]
 fn a_failed_append_wakes_the_loop_when_it_may_be_sent_again() {
     let start = Instant::now();
--- a/src/router/tests/concurrent_attempts.rs
+++ b/src/router/tests/concurrent_attempts.rs
@@ -1,4 +1,4 @@
-//! Two attempts of one request.
+//! Concurrent and repeated attempts of one request.
 
 use crate::ids::Fingerprint;
 use crate::router::Event;
@@ -35,8 +35,8 @@
     assert_eq!(cluster.spent(), CALL_TOKENS);
 }
 
-/// A caller's phone changes its cell and sends its call again, to another router, while the first router's claim is not
-/// folded there yet. Both append a claim; the log's order decides, and one alone dispatches.
+/// A caller sends its call again to another router, which has not yet read the first router's claim. Both append a
+/// claim; the order of the log decides, and only one router dispatches.
 #[test]
 fn of_two_claims_at_once_one_is_dispatched() {
     let mut cluster = Cluster::start(2);
@@ -92,7 +92,7 @@
         cluster.advance(100);
         let refusal = cluster.nodes[at].refusal(other).expect("a refusal");
         assert_eq!(refusal.kind, ProblemKind::OtherRequest);
-        // It speaks of the key, and under the key something ran or is about to.
+        // `ran` refers to the key, and a request under this key has run or is about to.
         assert_eq!(refusal.ran, Ran::Unknown);
     };
     refuse(&mut cluster, 0);
@@ -106,7 +106,7 @@
     assert_eq!(cluster.spent(), CALL_TOKENS);
 }
 
-/// A completion's caller lost its answer and comes back again and again. Without a bound one paid key would buy any number
+/// A caller that lost its completion's answer retries repeatedly. Without a limit, one paid key would yield any number
 /// of answers.
 #[test]
 fn a_billed_completion_runs_again_three_times_and_is_billed_once() {
--- a/src/router/tests/drain.rs
+++ b/src/router/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stops.
+//! Draining a router before a planned stop.
 
 use std::time::Duration;
 
@@ -67,8 +67,8 @@
     assert_eq!(exits(&cluster).first(), Some(&true));
 }
 
-/// A stop begins while the log is down. The router can't give back what it holds, nor bill what ended; it waits for the log
-/// until the limit.
+/// A drain begins while the log is down. The router can neither return its holdings nor bill finished requests, so it
+/// waits for the log until the drain limit.
 #[test]
 fn a_drain_waits_for_the_log_in_an_outage() {
     let mut cluster = Cluster::start(1);
--- a/src/router/tests/endpoint_restart.rs
+++ b/src/router/tests/endpoint_restart.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the name that they had.
+//! Endpoints that restart under the same name.
 
 use crate::router::BORN_LABEL;
 use crate::router::Event;
@@ -23,8 +23,9 @@
     pool.picker.chooser.load(site.now, &vm)
 }
 
-/// An endpoint crashes with requests on it and is back under its name before their connections are known to be dead. Counted
-/// against its new life, they would keep work from it, and it would be thought to have prompts that it never read.
+/// An endpoint crashes with requests on it and is back under its name before their connections are known to be dead. If
+/// they counted against the new process, it would get too little work, and the router would assume that it has cached
+/// prompts that it never read.
 #[test]
 fn a_restarted_endpoint_starts_with_no_load() {
     let mut site = Site::start(1_000_000);
@@ -38,7 +39,7 @@
     site.tell(same);
     assert!(
         load(&site).is_some_and(|load| load > 0),
-        "it is the same life"
+        "the same process is still running"
     );
     let again = list_with_engine(&site, "9000");
     site.tell(again);
--- a/src/router/tests/fleet_clock.rs
+++ b/src/router/tests/fleet_clock.rs
@@ -1,4 +1,4 @@
-//! What most clocks of a fleet read.
+//! The time span that most clocks of the fleet agree on.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 
 const OTHER_ROUTERS: usize = 8;
 
-/// Returns a clock that knows those of other routers, which are so many seconds off.
+/// Returns a fleet clock with readings of other routers that are off by the given numbers of seconds.
 fn clock(now: Instant, off: &[i64]) -> FleetClock {
     let mut clock = FleetClock::new(boot_clock(1, WALL, now));
     clock.set_peer_count(OTHER_ROUTERS);
@@ -29,8 +29,8 @@
     })
 }
 
-/// Two of nine clocks are far behind, as those of VMs that were suspended, and two are ahead. Let in, they would strand as many
-/// seconds of each team's demand at each loss of power as they are off.
+/// Two of nine clocks are far behind, like those of VMs that were suspended, and two are ahead. If they counted, each
+/// power loss would strand as many seconds of every team's demand as they are off.
 #[test]
 fn a_few_wrong_clocks_change_nothing() {
     let now = Instant::now();
@@ -40,18 +40,18 @@
     assert_eq!(clock.reading(now + later).fleet, exact(WALL + later));
 }
 
-/// Clocks that were set wrong in one direction are more than a quarter. They count, so that the span is too wide rather than
+/// More than a quarter of the clocks are wrong in one direction. They count, so that the span is too wide rather than
 /// too narrow.
 #[test]
 fn many_wrong_clocks_widen_the_span() {
     let now = Instant::now();
     let span = clock(now, &[-4, -4, -4, 0, 0, 0, 0, 0]).reading(now).fleet;
-    let span = span.expect("enough of them are known");
+    let span = span.expect("enough clocks are known");
     assert_eq!(span.earliest + Duration::from_secs(4), WALL);
     assert_eq!(span.latest, WALL);
 }
 
-/// Of half of the other routers nothing was heard: theirs may be the right ones.
+/// Half of the other routers have not been heard from, and their clocks may be the correct ones.
 #[test]
 fn half_of_the_clocks_are_not_enough() {
     let now = Instant::now();
@@ -59,8 +59,8 @@
     assert!(clock(now, &[0; 5]).reading(now).fleet.is_some());
 }
 
-/// Two routers of a large fleet say what time it is before the list has come that shows how large it is. Theirs may be the wrong
-/// ones.
+/// Two routers of a large fleet report their time before the VM list shows how large the fleet is. Their clocks may be
+/// the wrong ones.
 #[test]
 fn no_clocks_are_enough_before_the_routers_are_listed() {
     let now = Instant::now();
@@ -74,7 +74,8 @@
     assert_eq!(clock.reading(now).fleet, None);
 }
 
-/// What the clocks read at the start stays, whoever is heard of later: what was given back by it may be drawn already.
+/// The reading at the start does not change when more routers are heard from: tokens that were given back because of it
+/// may already have been drawn.
 #[test]
 fn the_start_reading_does_not_change() {
     let start = Instant::now();
--- a/src/router/tests/group_commit.rs
+++ b/src/router/tests/group_commit.rs
@@ -1,4 +1,4 @@
-//! Group commit, and appends that are repeated.
+//! Group commit, and appends that are sent more than once.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::router::tests::cluster::LogState;
 use crate::router::tests::cluster::OUTAGE_TIMEOUT;
 
-/// Counts the claims in each batch that a router sent off from the given one on.
+/// Counts the claims in each batch that the first router sent, from the given batch on.
 fn claims_per_batch(cluster: &Cluster, from: usize) -> Vec<usize> {
     let sent = &cluster.nodes[0].sent[from..];
     let batches = sent.iter().map(|bytes| decode(bytes).expect("a batch"));
@@ -34,7 +34,7 @@
         cluster.submit(0, &ask);
     }
     cluster.advance(200);
-    // The first goes at once, for nothing was on its way; the rest wait for it together.
+    // The first claim is sent at once because no append is pending; the rest share the next batch.
     assert_eq!(claims_per_batch(&cluster, from), [1, 5]);
 }
 
@@ -57,14 +57,14 @@
     }
 }
 
-/// The log service takes an append, and its answer is lost on the way back. The router sends the same again, as it must:
-/// it can't know. Counted twice, each request would be billed twice.
+/// The log service stores an append, but its response is lost, so the router has to send the same batch again. If the
+/// batch counted twice, each request would be billed twice.
 #[test]
 fn an_append_whose_answer_was_lost_counts_once() {
     let mut cluster = Cluster::start(1);
     let ask = cluster.chat("a1", 1);
     cluster.log = LogState::LosesResponses;
-    // Nothing is read either until the batch was sent again.
+    // The log is not read either until the batch has been sent again.
     let id = cluster.submit(0, &ask);
     for _ in 0..60 {
         cluster.now += Duration::from_millis(5);
--- a/src/router/tests/heartbeats.rs
+++ b/src/router/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Who hears from a router, and how often.
+//! Which peers a router sends heartbeats to, and how often.
 
 use indexmap::IndexMap;
 
@@ -6,7 +6,7 @@
 use crate::router::Effect;
 use crate::router::tests::site::Site;
 
-/// Returns how many heartbeats each peer was sent, and the most that went out at once.
+/// Returns the number of heartbeats sent to each peer, and the largest number of peers addressed at once.
 fn heartbeats_sent(site: &Site) -> (IndexMap<VmId, u32>, usize) {
     let mut counts: IndexMap<VmId, u32> = IndexMap::new();
     let mut most = 0;
@@ -21,8 +21,8 @@
     (counts, most)
 }
 
-/// A fleet grows to eighty routers on small VMs. Told by all of them at each heartbeat, a VM would spend its processor on
-/// heartbeats, and callers would wait; in turns, each still hears from all others within a few seconds.
+/// In a fleet of 80 routers on small VMs, heartbeats from every router at every interval would use up a VM's CPU and
+/// delay callers. With peers addressed in turns, each router still hears from all others within a few seconds.
 #[test]
 fn in_a_large_fleet_peers_take_turns() {
     let mut site = Site::start(1000);
@@ -30,13 +30,14 @@
     site.effects.clear();
     site.pass(7500);
     let (counts, most) = heartbeats_sent(&site);
-    assert!(most <= 12, "{most} at once");
-    assert_eq!(counts.len(), 80, "each had a turn");
+    assert!(most <= 12, "heartbeats to {most} peers at once");
+    assert_eq!(counts.len(), 80, "every peer was sent a heartbeat");
     let turns: Vec<_> = counts.values().copied().collect();
     assert!(turns.iter().max() <= turns.iter().min().map(|n| n + 1).as_ref());
 }
 
-/// In a small fleet all hear from a router at each heartbeat, since in a cut from the log loans depend on it.
+/// In a small fleet a router sends every heartbeat to all peers, since loans depend on heartbeats while the log can't
+/// be reached.
 #[test]
 fn in_a_small_fleet_all_hear_at_once() {
     let mut site = Site::start(1000);
--- a/src/router/tests/partition.rs
+++ b/src/router/tests/partition.rs
@@ -1,4 +1,4 @@
-//! How long silence is borne, by its kind, on both sides of it.
+//! How long each kind of silence is tolerated, on both sides of a partition.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     Cluster::with_tuning(vec![tune(0), tune(1)])
 }
 
-/// Lets a router be silent to the second one in one way, and returns how long it takes until it is closed.
+/// Makes the first router silent in the given way, and returns how long the second one takes to close it.
 fn time_to_close(cluster: &mut Cluster, silence: Silence) -> Duration {
     let dead = cluster.nodes[0].core.me;
     cluster.connected = false;
@@ -33,15 +33,15 @@
         cluster.advance(100);
         assert!(
             cluster.now - begun < PARTITION_TIMEOUT * 3,
-            "it is never closed"
+            "the silent router is not closed"
         );
     }
     cluster.now - begun
 }
 
-/// A router whose VM says that nothing listens there is dead, and its holdings are back soon. One that accepts the
-/// connection and says nothing may be frozen for some seconds. One that can't be reached may serve on its side of a
-/// partition, and keeps what it holds for as long as one lasts.
+/// A router whose VM refuses connections is dead, and its holdings are reclaimed soon. One that accepts the connection
+/// but does not answer may be frozen for some seconds. One that can't be reached may be serving on its side of a
+/// partition, and keeps its holdings for as long as a partition may last.
 #[test]
 fn the_time_to_close_a_silent_router_depends_on_the_kind_of_silence() {
     let refused = time_to_close(&mut two_routers(ConsistencyMode::Strict), Silence::Refused);
@@ -59,14 +59,14 @@
         away >= PARTITION_TIMEOUT && away < PARTITION_TIMEOUT + Duration::from_secs(5),
         "{away:?}"
     );
-    // Where refusals weigh more, one that may serve is not robbed of what it holds either.
+    // In available mode, a router that may still be serving keeps its holdings as well.
     let mute = time_to_close(&mut two_routers(ConsistencyMode::Available), Silence::Mute);
     assert!(mute >= PARTITION_TIMEOUT, "{mute:?}");
 }
 
-/// A router is cut off from the log and from its peer. It stops beginning runs before the other side may close it: were it
-/// later, both would spend the same tokens. A refusal of a connection is no exception, though the other side closes soon
-/// after one: the side that refuses is dead.
+/// A router is cut off from the log and from its peer. It must stop starting runs before the other side may close it;
+/// otherwise both would spend the same tokens. Refused connections are not tested: the other side closes soon after
+/// one, but a router that refuses connections is dead.
 #[test]
 fn a_router_that_is_cut_off_stops_before_the_others_may_close_it() {
     for lean in [ConsistencyMode::Strict, ConsistencyMode::Available] {
@@ -94,8 +94,8 @@
     }
 }
 
-/// A router that could not read the log for a while finds the others' last signs of life old. Their silence may be its own
-/// deafness, so it counts anew.
+/// A router that could not read the log for a while finds only old signs of life from its peers. The fault may be its
+/// own, so it starts to measure their silence anew.
 #[test]
 fn a_router_that_could_not_read_the_log_closes_no_peer_at_once() {
     let mut cluster = two_routers(ConsistencyMode::Strict);
@@ -111,8 +111,8 @@
     assert!(cluster.nodes[1].core.serving());
 }
 
-/// The process is stopped for half a minute, as VMs are when they are moved. What lay in its sockets may have been asked
-/// elsewhere meanwhile, so it is refused without a word on whether it ran.
+/// The process is paused for half a minute, as happens when a VM is migrated. A request that was buffered in its
+/// sockets may have been sent to another router meanwhile, so it is refused without stating whether it ran.
 #[test]
 fn a_request_buffered_during_a_pause_is_not_run() {
     let mut cluster = two_routers(ConsistencyMode::Strict);
--- a/src/router/tests/power_loss.rs
+++ b/src/router/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! What is left of a budget when all routers lost their power.
+//! How much of a budget is left after all routers lost power.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use crate::router::tests::site::whole;
 use crate::vms::VmEntry;
 
-/// How many other routers there are.
+/// The number of other routers.
 const OTHER_ROUTERS: usize = 5;
 
-/// What the team prepaid: a minute of its demand.
+/// The team's prepaid budget: one minute of its demand.
 const PREPAID_TOKENS: u64 = 600_000;
 
-/// What it is asked for each second.
+/// The team's demand in tokens per second.
 const DEMAND_PER_S: u64 = 10_000;
 
 /// How long the VMs are down.
 const DOWNTIME: Duration = Duration::from_millis(1400);
 
-/// How long the new process may not know better than it does at first.
+/// How long the new process may take to settle its first estimate.
 const SETTLE_MS: u64 = 2000;
 
 fn vms() -> Vec<VmEntry> {
@@ -34,8 +34,8 @@
     [engine].into_iter().chain(routers).collect()
 }
 
-/// Has callers ask for the team's demand for so many seconds, and each of them be served at once, if at all. Returns what
-/// they used.
+/// Sends the team's demand for the given number of seconds; each request that is dispatched completes at once. Returns
+/// the number of tokens used.
 fn serve(site: &mut Site, seconds: u64) -> u64 {
     let mut used = 0;
     for tenth in 0..seconds * 10 {
@@ -53,7 +53,7 @@
     used
 }
 
-/// Has all routers lose their power, and returns how much more than was used counts as used afterwards.
+/// Cuts the power of all routers, and returns how many more tokens count as used afterwards than were used.
 fn overcount_after_power_loss(site: &mut Site, used: u64) -> u64 {
     site.lose_power(DOWNTIME);
     site.hear_routers(OTHER_ROUTERS);
@@ -61,21 +61,23 @@
     counted_as_used(site) - used
 }
 
-/// Returns what the new process takes for used by the one before it.
+/// Returns how many tokens the new process counts as used by its predecessor.
 fn counted_as_used(site: &Site) -> u64 {
     let dump = site.core.funds.dump(site.now);
     let field = &dump["teams"][0]["granted_elsewhere"];
     field.as_u64().expect("a number")
 }
 
-/// All routers lose their power while they are in touch with the log, and are back within two seconds. Each new process takes
-/// for used what the dead one's last promise left open until it started. Three seconds were added to that time, because the
-/// VM's clock may have been set back meanwhile: two thirds of what callers of teams that had prepaid enough were refused for,
-/// and the share of requests served fell for the rest of the day. The line `given-back` showed it, team by team, beside what
-/// the promise in `granted` consists of.
+/// Guards against counting too much as used after a power loss. All routers lose power while they can reach the log,
+/// and are back within two seconds. Each new process counts as used what its predecessor's last recorded release limit
+/// allowed until the new start. Three more seconds were once added because the VM's clock may have been set back
+/// meanwhile; that caused two thirds of the refusals for teams that had prepaid enough, and the share of requests
+/// served stayed lower for the rest of the day. The log line `given-back` showed it for each team, next to the parts of
+/// the limit in `granted`.
 ///
-/// The dead process lived a third of a second after its promise at most, and nobody can tell how long its VM was down but by
-/// clocks. So the time for which it was down, a second for the promise's age, its reserve and the haste, and not more.
+/// The old process ran for at most a third of a second after it last recorded its limit, and only clocks can tell how
+/// long its VM was down. So at most the downtime plus one second of demand may be lost; the second covers the limit's
+/// age, its burst and its rate above the demand.
 #[test]
 fn a_power_loss_costs_little_more_than_the_downtime() {
     let mut site = Site::start_among(PREPAID_TOKENS, vms());
@@ -86,9 +88,9 @@
     assert!(lost <= most, "{lost} of at most {most} tokens");
 }
 
-/// A VM's clock is five seconds ahead, and is set right while the VM has no power. By it no time has passed; its router was cut
-/// off from the log for four seconds before, and used what it had promised for such a time. Given back, that would be used twice,
-/// and the team be served more than it prepaid.
+/// A VM's clock is five seconds ahead and is corrected while the VM has no power, so by this clock no time has passed.
+/// Its router was cut off from the log for the four seconds before and used what its release limit allowed for that time. If
+/// those tokens were given back, they would be used twice, and the team would be served more than it prepaid.
 #[test]
 fn a_clock_set_back_returns_no_used_tokens() {
     let mut site = Site::start_ahead(PREPAID_TOKENS, vms(), Duration::from_secs(5));
@@ -105,8 +107,8 @@
     assert!(counted >= used, "{counted} of {used} tokens");
 }
 
-/// The same loss of power, and few other routers are heard of: their clocks may all be wrong. The VM's own counts then, with
-/// the allowance for its having been set back.
+/// After a power loss only few other routers are heard from, and their clocks may all be wrong. The VM's own clock
+/// counts then, with an allowance of three seconds in case it was set back.
 #[test]
 fn too_few_clocks_are_not_trusted() {
     let mut site = Site::start_among(PREPAID_TOKENS, vms());
@@ -119,8 +121,8 @@
     assert!(lost >= least, "{lost} of at least {least} tokens");
 }
 
-/// Guards against a promise that is never written anew because nobody asks for the budget: it opens all the same, and all that
-/// had opened was lost with the routers' power.
+/// Guards against a release limit that is never recorded anew because the budget is idle. What it releases grows with
+/// time all the same, and all of that was lost when the routers lost power.
 #[test]
 fn a_power_loss_costs_an_idle_budget_little() {
     let mut site = Site::start_among(PREPAID_TOKENS, vms());
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -1,5 +1,5 @@
-//! Many interleavings: whatever happens in whatever order, nothing panics, no budget is passed, each request is billed
-//! once, and a call that may not be repeated reaches its service once.
+//! Random interleavings of events: nothing panics, no budget is exceeded, each request is billed once, and a call that
+//! must not be repeated reaches its service at most once.
 
 use std::time::Duration;
 
@@ -22,13 +22,13 @@
 use crate::router::tests::cluster::tuning;
 use crate::tokens::Tokens;
 
-/// What the team has prepaid: enough for some of the requests.
+/// The team's prepaid budget: enough for only some of the requests.
 const BUDGET_TOKENS: u64 = 1_500;
 
-/// What the steps are drawn from.
+/// Seed of the random steps.
 const SEED: u64 = 1;
 
-/// What happens next; the numbers pick the router, the key and the like.
+/// One random event; the numbers select the router, the key and other parameters.
 #[derive(Clone, Debug)]
 enum Step {
     Chat(usize, u8, u8),
@@ -68,12 +68,12 @@
     }
 }
 
-/// A run and what the test knows of it.
+/// A cluster under test and what the test has recorded about its calls.
 struct Trial {
     cluster: Cluster,
-    /// The keys of the calls, by request.
+    /// The key of each call and the router that it was submitted to.
     calls: IndexMap<RequestId, (String, usize)>,
-    /// How many of their dispatches are known not to have reached the service.
+    /// The number of each call's dispatches that are known not to have reached the service.
     undelivered: IndexMap<RequestId, usize>,
 }
 
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Picks a request that a router has in progress.
+    /// Selects one of a router's requests in progress.
     fn pick(&self, at: usize, any: usize) -> Option<RequestId> {
         let requests = &self.cluster.nodes[at].core.requests;
         let count = requests.len();
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Mends all and lets it come to rest.
+    /// Restores the log and the link, then runs until the cluster has settled.
     fn recover(&mut self) {
         self.cluster.log = LogState::Up;
         self.cluster.connected = true;
@@ -197,7 +197,7 @@
             .map(|holding| holding.free + holding.claimed)
             .sum();
         if state.spent + state.lost + held > state.prepaid {
-            return Err(format!("beyond the budget: {state:?}"));
+            return Err(format!("budget exceeded: {state:?}"));
         }
         let bills: Tokens = ledger
             .keys()
@@ -205,13 +205,16 @@
             .map(|bill| bill.amount)
             .sum();
         if bills != state.spent {
-            return Err(format!("bills of {bills}, spent {}", state.spent));
+            return Err(format!(
+                "bills add up to {bills}, but {} was spent",
+                state.spent
+            ));
         }
         self.check_purses(&ledger)?;
         self.check_calls()
     }
 
-    /// What a router would reserve has to be there: after all is folded, it is what the ledger says at most.
+    /// With no appends pending, a router must not have more available for reservations than the ledger grants it.
     fn check_purses(&self, ledger: &Ledger) -> Result<(), String> {
         for node in &self.cluster.nodes {
             let core = &node.core;
@@ -219,14 +222,17 @@
                 let free = ledger.holding(core.me, team).free;
                 let credit = core.appender.waiting() > 0;
                 if !credit && purse.available(free) > free {
-                    return Err(format!("{} available of {free}", purse.available(free)));
+                    return Err(format!(
+                        "purse offers {} of {free} free tokens",
+                        purse.available(free)
+                    ));
                 }
             }
         }
         Ok(())
     }
 
-    /// A call reaches its service once under its key, and one that did is never refused as not run.
+    /// A call reaches its service at most once per key, and one that did is never refused as not run.
     fn check_calls(&self) -> Result<(), String> {
         let mut ran: IndexMap<&str, usize> = IndexMap::new();
         for (id, (key, at)) in &self.calls {
@@ -259,7 +265,7 @@
         .iter()
         .any(|node| node.effects.iter().any(exits))
     {
-        return Err("it ended".to_owned());
+        return Err("a router exited".to_owned());
     }
     trial.check()
 }
--- a/src/router/tests/refused.rs
+++ b/src/router/tests/refused.rs
@@ -1,4 +1,4 @@
-//! What proves that a refused request was not run, in each case.
+//! When a refusal proves that the request was not run, case by case.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     (refusal.kind, refusal.ran)
 }
 
-/// Has an attempt of a completion refused for the team's spent budget, and returns what its caller is told.
+/// Submits a completion that is refused because the team's budget is spent, and returns what the caller is told.
 fn refuse_attempt(cluster: &mut Cluster, key: &str, attempt: u64) -> (ProblemKind, Ran) {
     let ask = cluster.chat(key, attempt);
     let id = cluster.submit(0, &ask);
@@ -33,11 +33,15 @@
     let records = cluster.records.len();
     let told = refuse_attempt(&mut cluster, "p1", 1);
     assert_eq!(told, (ProblemKind::BudgetSpent, Ran::No));
-    assert_eq!(cluster.records.len(), records, "it takes no record");
+    assert_eq!(
+        cluster.records.len(),
+        records,
+        "a first attempt needs no record"
+    );
 }
 
-/// A later attempt is refused. An earlier one may be on its way to another router, so a record has to settle that it will
-/// not run: a claim of it that comes behind is void.
+/// A later attempt is refused while an earlier one may still be in transit to another router. A record must ensure that
+/// the earlier one will not run: any claim for it that follows in the log is void.
 #[test]
 fn a_later_attempt_takes_a_record() {
     let mut cluster = Cluster::without_budget(vec![tuning(0)]);
@@ -45,10 +49,10 @@
         refuse_attempt(&mut cluster, "p2", 2),
         (ProblemKind::BudgetSpent, Ran::No)
     );
-    let state = cluster.key_state("p2").expect("it stands in the log");
+    let state = cluster.key_state("p2").expect("the key is in the log");
     assert!(state.is_unrun());
     cluster.top_up("later", 10_000);
-    // The first attempt arrives only now, and may not run any more; a third one may.
+    // The first attempt arrives only now and must not run any more; a third one may.
     let late = cluster.chat("p2", 1);
     let late = cluster.submit(0, &late);
     cluster.advance(500);
@@ -82,7 +86,7 @@
     assert!(cluster.nodes[0].runs(id).is_empty());
 }
 
-/// Every endpoint refuses the request. Its claim is held, and releasing it is the proof.
+/// Every endpoint refuses the request. The router holds its claim, and the release of the claim is the proof.
 #[test]
 fn a_claim_that_no_endpoint_took_is_released() {
     for attempt in [1, 2] {
@@ -95,7 +99,7 @@
         }
         cluster.advance(300);
         assert_eq!(refusal(&cluster, 0, id), (ProblemKind::NoEndpoint, Ran::No));
-        let state = cluster.key_state("p5").expect("it stands in the log");
+        let state = cluster.key_state("p5").expect("the key is in the log");
         assert!(state.is_unrun());
         assert_eq!(cluster.spent(), 0);
     }
@@ -127,8 +131,8 @@
     assert!(cluster.nodes[0].runs(retry).is_empty());
 }
 
-/// Another router runs the request when this one refuses its retry. "No" would have the caller send it once more under a
-/// new key.
+/// Another router is running the request when this one refuses its retry. Reporting "not run" would make the caller
+/// send it once more under a new key.
 #[test]
 fn a_request_running_elsewhere_is_never_reported_as_not_run() {
     let mut cluster = Cluster::start(2);
@@ -146,7 +150,8 @@
     }
 }
 
-/// Where one keeper is enough in an outage, a router may run what this one has no word of.
+/// In available mode, one replica is enough during an outage, so another router may run a request that this one knows
+/// nothing about.
 #[test]
 fn in_available_mode_a_record_proves_nothing() {
     let tuning = Tuning {
@@ -164,7 +169,8 @@
     );
 }
 
-/// Thousands of retries a second are refused. Each proof is a record, and proving them all would take what serving needs.
+/// Thousands of retries per second are refused. Each proof takes a record, and proving them all would use up the append
+/// capacity that serving needs.
 #[test]
 fn refusal_records_are_rate_limited() {
     let mut cluster = Cluster::without_budget(vec![tuning(0)]);
--- a/src/router/tests/stale_config.rs
+++ b/src/router/tests/stale_config.rs
@@ -1,4 +1,4 @@
-//! Routers whose configuration is older than that of the others.
+//! Routers whose configuration is older than that of their peers.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 use crate::router::tests::site::entry;
 use crate::router::tests::site::table;
 
-/// How long a router may go on with a configuration that its peers have replaced, if one of them answers.
+/// How long a router may keep using a configuration that its peers have replaced, provided that one of them answers.
 const STALE_LIMIT: Duration = Duration::from_millis(500);
 
-/// Returns a router that has configuration 1, and whose peer has another one.
+/// Returns a router with configuration 1 whose peer has the given version.
 fn site_with_peer_at(version: u64) -> Site {
     let mut site = Site::start(1000);
     receive_heartbeat(&mut site, version);
@@ -34,13 +34,13 @@
     site.tell(Event::Heard(beat));
 }
 
-/// Returns how many times a peer was asked for its configuration.
+/// Returns the number of requests to peers for their configuration.
 fn table_fetches(site: &Site) -> usize {
     let fetch = |effect: &&Effect| matches!(effect, Effect::FetchTable(_));
     site.effects.iter().filter(fetch).count()
 }
 
-/// Returns how a request was refused, and whether its caller was told when to come back.
+/// Returns how a request was refused, and whether the refusal carries a retry delay.
 fn refusal(site: &Site, id: RequestId) -> (ProblemKind, Ran, bool) {
     let problem = site.refusal(id).expect("it is refused");
     (problem.kind, problem.ran, problem.retry.is_some())
@@ -48,7 +48,7 @@
 
 const CONFIG_BEHIND: (ProblemKind, Ran, bool) = (ProblemKind::ConfigBehind, Ran::No, true);
 
-/// Guards against a router that goes on with an old configuration because its calls to the store come late.
+/// Guards against a router that keeps using an old configuration because its reads from the store are delayed.
 #[test]
 fn a_newer_configuration_is_fetched_from_a_peer() {
     let mut site = site_with_peer_at(2);
@@ -59,7 +59,7 @@
     assert_eq!(table_fetches(&site), 1);
 }
 
-/// Guards against every router asking its peers at each change, though the store brings it a moment later.
+/// Guards against every router asking its peers at each change although the store delivers it a moment later.
 #[test]
 fn a_configuration_that_the_store_brings_is_not_fetched() {
     let mut site = site_with_peer_at(2);
@@ -69,7 +69,7 @@
     assert_eq!(table_fetches(&site), 0);
 }
 
-/// Guards against waiting for ever for a peer that does not answer.
+/// Guards against waiting forever for a peer that does not answer.
 #[test]
 fn a_lost_configuration_is_fetched_again() {
     let mut site = site_with_peer_at(2);
@@ -77,7 +77,7 @@
     assert!(table_fetches(&site) > 1);
 }
 
-/// Guards against waiting a second after a peer that refused, or can't be asked, though others have the configuration.
+/// Guards against waiting a second after a peer refused, or can't be asked, although others have the configuration.
 #[test]
 fn a_configuration_that_one_peer_does_not_send_is_fetched_from_another() {
     let vms = ["router-1", "router-2", "engine-0"].map(|vm| match vm {
@@ -129,7 +129,7 @@
     assert_eq!(refusal(&site, id), expected);
 }
 
-/// Guards against 404 from a router that has not heard from the store for longer than a change may take.
+/// Guards against 404 from a router that has not reached the store for longer than a change may take to arrive.
 #[test]
 fn an_unknown_route_is_not_denied_without_word_from_the_store() {
     let mut site = Site::start(1000);
@@ -143,7 +143,7 @@
     assert_eq!(refusal(&site, id), (ProblemKind::NoRoute, Ran::No, false));
 }
 
-/// Guards against 404 by what the store said seconds ago, in an answer that was on its way for so long.
+/// Guards against 404 based on a store response that was delayed by seconds and may be out of date.
 #[test]
 fn an_unknown_route_is_not_denied_by_an_old_answer_of_the_store() {
     let mut site = Site::start(1000);
@@ -155,7 +155,7 @@
     assert_eq!(refusal(&site, id), CONFIG_BEHIND);
 }
 
-/// Guards against refusing requests that the configuration at hand allows.
+/// Guards against refusing requests that the local configuration allows.
 #[test]
 fn known_routes_are_served_by_an_old_configuration() {
     let mut site = site_with_peer_at(2);
@@ -163,7 +163,7 @@
     assert_eq!(site.runs(id).len(), 1);
 }
 
-/// Guards against a configuration that peers can't read.
+/// Guards against a configuration encoding that peers can't decode.
 #[test]
 fn a_configuration_can_be_sent_to_a_peer() {
     let sent = table(2, 1000);
