--- a/src/router/tests/cluster.rs
+++ b/src/router/tests/cluster.rs
@@ -86,7 +86,7 @@
     pub(crate) connected: bool,
     pub(crate) records: Vec<Vec<u8>>,
     /// Total size of the batches that the routers have replicated to each other.
-    pub(crate) kept_bytes: usize,
+    pub(crate) replicated_bytes: usize,
     started: Instant,
     next_id: u64,
 }
@@ -155,7 +155,7 @@
             log: LogState::Up,
             connected: true,
             records: Vec::new(),
-            kept_bytes: 0,
+            replicated_bytes: 0,
             started: now,
             next_id: 1,
         };
@@ -224,7 +224,7 @@
             }
             Effect::Keep(batches, peers) if self.connected && !peers.is_empty() => {
                 let other = 1 - at;
-                self.kept_bytes += batches.batches.iter().map(Vec::len).sum::<usize>();
+                self.replicated_bytes += batches.batches.iter().map(Vec::len).sum::<usize>();
                 let event = Event::Keep(AdminId(0), batches.clone());
                 let answers = self.nodes[other].core.handle(self.now, event);
                 let keeps = |e: &Effect| matches!(e, Effect::Answer(AdminId(0), 200, _));
--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -178,7 +178,7 @@
 fn what_is_left_with_peers_is_sent_once_or_so() {
     const REQUESTS: usize = 600;
     let mut cluster = in_outage(|tuning| tuning);
-    let before = cluster.kept_bytes;
+    let before = cluster.replicated_bytes;
     for number in 0..REQUESTS {
         let ask = cluster.chat(&format!("long-{number}"), 1);
         let id = cluster.submit_and_dispatch(0, &ask);
@@ -186,7 +186,7 @@
         cluster.advance(100);
         assert!(cluster.nodes[0].released(id), "{number}");
     }
-    let each = (cluster.kept_bytes - before) / REQUESTS;
+    let each = (cluster.replicated_bytes - before) / REQUESTS;
     assert!(each < 10_000, "{each} bytes a request");
     cluster.log = LogState::Up;
     cluster.advance(5000);
--- a/src/router/tests/power_loss.rs
+++ b/src/router/tests/power_loss.rs
@@ -89,8 +89,8 @@
 }
 
 /// A VM's clock is five seconds ahead and is corrected while the VM has no power, so by this clock no time has passed.
-/// Its router was cut off from the log for the four seconds before and used what its release limit allowed for that time. If
-/// those tokens were given back, they would be used twice, and the team would be served more than it prepaid.
+/// Its router was cut off from the log for the four seconds before and used what its release limit allowed for that
+/// time. If those tokens were given back, they would be used twice, and the team would be served more than it prepaid.
 #[test]
 fn a_clock_set_back_returns_no_used_tokens() {
     let mut site = Site::start_ahead(PREPAID_TOKENS, vms(), Duration::from_secs(5));
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -47,13 +47,13 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let at = usize::arbitrary(g) % 2;
-        let any = usize::arbitrary(g);
+        let index = usize::arbitrary(g);
         let (a, b) = (u8::arbitrary(g), u8::arbitrary(g));
         match u8::arbitrary(g) % 24 {
             0..=4 => Self::Chat(at, a, b),
             5..=8 => Self::Call(at, a, b),
-            9 => Self::HungUp(at, any),
-            10..=13 => Self::Ended(at, any, a),
+            9 => Self::HungUp(at, index),
+            10..=13 => Self::Ended(at, index, a),
             14 => Self::Log(a),
             15 => Self::Link(a % 3 > 0),
             16..=20 => Self::Advance(u16::from(a)),
@@ -101,13 +101,13 @@
                 let id = cluster.submit(at, &ask);
                 self.calls.insert(id, (key, at));
             }
-            Step::HungUp(at, any) => {
-                if let Some(id) = self.pick(at, any) {
+            Step::HungUp(at, index) => {
+                if let Some(id) = self.pick(at, index) {
                     self.cluster.handle(at, Event::HungUp(id));
                 }
             }
-            Step::Ended(at, any, how) => {
-                if let Some(id) = self.pick(at, any) {
+            Step::Ended(at, index, how) => {
+                if let Some(id) = self.pick(at, index) {
                     let end = self.end(id, how);
                     let state = &self.cluster.nodes[at].core.requests[&id].state;
                     let running = matches!(state, State::Running { .. });
@@ -145,10 +145,10 @@
     }
 
     /// Selects one of a router's requests in progress.
-    fn pick(&self, at: usize, any: usize) -> Option<RequestId> {
+    fn pick(&self, at: usize, index: usize) -> Option<RequestId> {
         let requests = &self.cluster.nodes[at].core.requests;
         let count = requests.len();
-        let (id, _) = requests.get_index(any.checked_rem(count)?)?;
+        let (id, _) = requests.get_index(index.checked_rem(count)?)?;
         Some(*id)
     }
 
