--- a/src/router/tests/mod.rs
+++ b/src/router/tests/mod.rs
@@ -5,7 +5,6 @@
     reason = "a test takes the moment at which it starts from the system"
 )]
 
-mod caller_hang_up;
 mod cluster;
 mod commit_timing;
 mod concurrent_attempts;
@@ -16,6 +15,7 @@
 mod grants;
 mod group_commit;
 mod heartbeats;
+mod hung_up;
 mod outage;
 mod owners;
 mod partition;
