--- a/src/router/tests/bench.rs
+++ b/src/router/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! One core or two, and a log in memory between them. It is no simulator: time passes and the log answers only when a test
-//! says so.
+//! An in-memory cluster of one or two router cores that share a log. Time advances and the log answers only when a test
+//! asks for it; nothing is simulated in between.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -44,51 +44,51 @@
 use crate::vms::VmList;
 use crate::vms::VmState;
 
-/// The commit interval of the cores.
-pub(crate) const COMMIT: Duration = Duration::from_millis(25);
+/// The group commit interval of the cores.
+pub(crate) const COMMIT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long a batch may go without its verdict.
-pub(crate) const OUTAGE: Duration = Duration::from_millis(500);
+/// How long a batch may wait for its verdict before the log counts as unavailable.
+pub(crate) const OUTAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a call costs.
-pub(crate) const PRICE: u64 = 5;
+/// The price of one service call.
+pub(crate) const CALL_TOKENS: u64 = 5;
 
-/// What the team has prepaid, unless a test says otherwise.
-pub(crate) const BUDGET: u64 = 100_000;
+/// The team's prepaid budget, unless a test sets another one.
+pub(crate) const BUDGET_TOKENS: u64 = 100_000;
 
 /// How the log service answers appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Log {
-    /// They take effect and are answered.
+pub(crate) enum LogState {
+    /// Appends are stored and answered.
     Up,
-    /// They take effect, and the answer is lost.
-    LosesAnswers,
-    /// They neither take effect nor are answered.
+    /// Appends are stored, but the responses are lost.
+    LosesResponses,
+    /// Appends are neither stored nor answered.
     Down,
 }
 
 /// One router.
 pub(crate) struct Node {
     pub(crate) core: Core,
-    /// What it did that is not the log's or the peers' affair.
-    pub(crate) out: Vec<Effect>,
-    /// The batches that it sent off, one for each try.
+    /// Effects that concern neither the log nor the peers.
+    pub(crate) effects: Vec<Effect>,
+    /// The batches it sent, one entry per attempt.
     pub(crate) sent: Vec<Vec<u8>>,
-    read: usize,
+    next_offset: usize,
 }
 
-/// One core or two, and a log.
-pub(crate) struct Bench {
+/// One or two router cores and a shared in-memory log.
+pub(crate) struct Cluster {
     pub(crate) now: Instant,
     pub(crate) nodes: Vec<Node>,
-    pub(crate) log: Log,
-    /// Whether the routers hear each other.
-    pub(crate) linked: bool,
+    pub(crate) log: LogState,
+    /// Whether the routers can reach each other.
+    pub(crate) connected: bool,
     pub(crate) records: Vec<Vec<u8>>,
-    /// How many bytes the routers have left with each other.
-    pub(crate) left: usize,
+    /// Total size of the batches that the routers have replicated to each other.
+    pub(crate) replicated_bytes: usize,
     started: Instant,
-    next: u64,
+    next_id: u64,
 }
 
 pub(crate) fn tuning(at: usize) -> Tuning {
@@ -98,10 +98,10 @@
         address: format!("127.0.0.1:{}", 8000 + at),
         lean: ConsistencyMode::Strict,
         pace: AppendTiming {
-            interval: COMMIT,
-            timeout: OUTAGE,
+            interval: COMMIT_INTERVAL,
+            timeout: OUTAGE_TIMEOUT,
         },
-        outage_after: OUTAGE,
+        outage_after: OUTAGE_TIMEOUT,
         end_marker: EndMarker::Peers,
         heartbeat_interval: Duration::from_millis(100),
         silence_timeout: Duration::from_secs(4),
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the clock of a VM's boot, an hour after which a process started, at a time of day.
+/// Returns the clock of a process that started one hour after its VM booted, at the given wall-clock time.
 pub(crate) fn boot_clock(boot: u64, wall: Duration, started: Instant) -> BootClock {
     let start = Moment {
         host: HostId(1),
@@ -128,53 +128,53 @@
     BootClock::new(start, started)
 }
 
-impl Bench {
-    /// Brings up so many cores, which serve, and gives the team its budget.
+impl Cluster {
+    /// Starts the given number of cores, checks that they serve, and funds the team.
     pub(crate) fn start(routers: usize) -> Self {
-        Self::tuned((0..routers).map(tuning).collect())
+        Self::with_tuning((0..routers).map(tuning).collect())
     }
 
-    pub(crate) fn tuned(tunings: Vec<Tuning>) -> Self {
-        let mut bench = Self::unfunded(tunings);
-        bench.top_up("first", BUDGET);
-        bench
+    pub(crate) fn with_tuning(tunings: Vec<Tuning>) -> Self {
+        let mut cluster = Self::without_budget(tunings);
+        cluster.top_up("first", BUDGET_TOKENS);
+        cluster
     }
 
-    pub(crate) fn unfunded(tunings: Vec<Tuning>) -> Self {
+    pub(crate) fn without_budget(tunings: Vec<Tuning>) -> Self {
         let now = Instant::now();
         let nodes = tunings.into_iter().enumerate();
         let nodes = nodes.map(|(at, tuning)| Node {
             core: Core::new(now, tuning, at as u64 + 1),
-            out: Vec::new(),
+            effects: Vec::new(),
             sent: Vec::new(),
-            read: 0,
+            next_offset: 0,
         });
-        let mut bench = Self {
+        let mut cluster = Self {
             now,
             nodes: nodes.collect(),
-            log: Log::Up,
-            linked: true,
+            log: LogState::Up,
+            connected: true,
             records: Vec::new(),
-            left: 0,
+            replicated_bytes: 0,
             started: now,
-            next: 1,
+            next_id: 1,
         };
-        let list = vm_list(bench.nodes.len());
-        for at in 0..bench.nodes.len() {
+        let list = vm_list(cluster.nodes.len());
+        for at in 0..cluster.nodes.len() {
             let entry = Entry {
                 offset: Offset(0),
                 at: 1,
                 data: config().to_string().into_bytes(),
             };
-            bench.tell(at, Event::ConfigEntries(vec![entry]));
-            bench.tell(at, Event::VmList(list.clone()));
-            bench.tell(at, Event::CaughtUp);
+            cluster.handle(at, Event::ConfigEntries(vec![entry]));
+            cluster.handle(at, Event::VmList(list.clone()));
+            cluster.handle(at, Event::CaughtUp);
         }
-        bench.pass(200);
-        for node in &bench.nodes {
+        cluster.advance(200);
+        for node in &cluster.nodes {
             assert!(node.core.is_serving());
         }
-        bench
+        cluster
     }
 
     pub(crate) fn top_up(&mut self, id: &str, amount: u64) {
@@ -183,19 +183,19 @@
             team: "loans".parse().expect("a name"),
             amount: Tokens(amount),
         };
-        self.tell(0, Event::Admin(ReplyId(u64::MAX), request));
-        self.pass(200);
+        self.handle(0, Event::Admin(ReplyId(u64::MAX), request));
+        self.advance(200);
     }
 
-    /// Tells a core of an event and carries out what it wants of the log and of the other.
-    pub(crate) fn tell(&mut self, at: usize, event: Event) {
+    /// Passes an event to a core and carries out the effects that concern the log and the other core.
+    pub(crate) fn handle(&mut self, at: usize, event: Event) {
         let effects = self.nodes[at].core.handle(self.now, event);
         for effect in effects {
-            self.carry_out(at, effect);
+            self.perform(at, effect);
         }
     }
 
-    fn carry_out(&mut self, at: usize, effect: Effect) {
+    fn perform(&mut self, at: usize, effect: Effect) {
         match effect {
             Effect::Append {
                 router,
@@ -203,28 +203,28 @@
                 bytes,
             } => {
                 self.nodes[at].sent.push(bytes.clone());
-                if self.log != Log::Down {
+                if self.log != LogState::Down {
                     self.records.push(bytes);
                 }
-                if self.log != Log::Down {
-                    let landed = self.log == Log::Up;
+                if self.log != LogState::Down {
+                    let landed = self.log == LogState::Up;
                     let event = Event::Appended {
                         router,
                         sequence,
                         landed,
                     };
-                    self.tell(at, event);
+                    self.handle(at, event);
                 }
             }
-            Effect::AppendKept(bytes) if self.log != Log::Down => self.records.push(bytes),
-            Effect::SendHeartbeat(beat, _) if self.linked => {
+            Effect::AppendKept(bytes) if self.log != LogState::Down => self.records.push(bytes),
+            Effect::SendHeartbeat(beat, _) if self.connected => {
                 for other in (0..self.nodes.len()).filter(|other| *other != at) {
-                    self.tell(other, Event::HeartbeatReceived(beat.clone()));
+                    self.handle(other, Event::HeartbeatReceived(beat.clone()));
                 }
             }
-            Effect::KeepBatches(batches, peers) if self.linked && !peers.is_empty() => {
+            Effect::KeepBatches(batches, peers) if self.connected && !peers.is_empty() => {
                 let other = 1 - at;
-                self.left += batches.batches.iter().map(Vec::len).sum::<usize>();
+                self.replicated_bytes += batches.batches.iter().map(Vec::len).sum::<usize>();
                 let event = Event::KeepBatches(ReplyId(0), batches.clone());
                 let answers = self.nodes[other].core.handle(self.now, event);
                 let keeps = |e: &Effect| matches!(e, Effect::Answer(ReplyId(0), 200, _));
@@ -235,22 +235,22 @@
                         last: batches.last,
                         records: batches.records,
                     };
-                    self.tell(at, event);
+                    self.handle(at, event);
                 } else {
-                    self.tell(at, Event::BatchesRejected(peers[0].vm.clone()));
+                    self.handle(at, Event::BatchesRejected(peers[0].vm.clone()));
                 }
             }
             Effect::SendHeartbeat(..) | Effect::KeepBatches(..) | Effect::AppendKept(_) => {}
-            other => self.nodes[at].out.push(other),
+            other => self.nodes[at].effects.push(other),
         }
     }
 
-    /// Shows a core what the log has that it has not read.
-    pub(crate) fn read(&mut self, at: usize) {
-        if self.log == Log::Down {
+    /// Delivers to a core the log entries that it has not read yet.
+    pub(crate) fn read_log(&mut self, at: usize) {
+        if self.log == LogState::Down {
             return;
         }
-        let from = self.nodes[at].read;
+        let from = self.nodes[at].next_offset;
         let millis = u64::try_from((self.now - self.started).as_millis()).expect("it fits");
         let entries: Vec<_> = (from..self.records.len())
             .map(|offset| Entry {
@@ -259,33 +259,33 @@
                 data: self.records[offset].clone(),
             })
             .collect();
-        self.nodes[at].read = self.records.len();
-        // A reader that waits for records is answered after a while also where there are none.
-        self.tell(at, Event::LedgerEntries(entries));
+        self.nodes[at].next_offset = self.records.len();
+        // A long poll for records also returns, empty, when there are none.
+        self.handle(at, Event::LedgerEntries(entries));
     }
 
-    /// Lets time pass, in steps of the loop's tick, with the log read at each.
-    pub(crate) fn pass(&mut self, millis: u64) {
+    /// Advances the time in 5 ms ticks; each core reads the log at every tick.
+    pub(crate) fn advance(&mut self, millis: u64) {
         let step = 5;
         for _ in 0..millis.div_ceil(step) {
             self.now += Duration::from_millis(step);
             for at in 0..self.nodes.len() {
-                self.read(at);
-                self.tell(at, Event::Tick);
+                self.read_log(at);
+                self.handle(at, Event::Tick);
             }
         }
     }
 
-    /// Names a request.
-    pub(crate) fn id(&mut self) -> RequestId {
-        self.next += 1;
-        RequestId(self.next)
+    /// Returns a request ID that was not used before.
+    pub(crate) fn next_request_id(&mut self) -> RequestId {
+        self.next_id += 1;
+        RequestId(self.next_id)
     }
 
-    /// A completion of at most 100 tokens.
+    /// Returns a request for a completion of at most 100 tokens.
     pub(crate) fn chat(&mut self, key: &str, attempt: u64) -> Arrival {
         Arrival {
-            id: self.id(),
+            id: self.next_request_id(),
             bearer: Secret("yard-key".to_owned()),
             key: Some(key.parse().expect("a name")),
             attempt: Attempt(attempt),
@@ -302,7 +302,7 @@
         }
     }
 
-    /// A call that may not be repeated.
+    /// Returns a call to a service whose calls must not be repeated.
     pub(crate) fn call(&mut self, key: &str, attempt: u64) -> Arrival {
         Arrival {
             work: Work::Call {
@@ -313,36 +313,41 @@
         }
     }
 
-    /// Has a request arrive at a router.
-    pub(crate) fn arrive(&mut self, at: usize, arrival: &Arrival) -> RequestId {
-        self.tell(at, Event::RequestArrived(Box::new(arrival.clone())));
+    /// Submits a request to a router.
+    pub(crate) fn submit(&mut self, at: usize, arrival: &Arrival) -> RequestId {
+        self.handle(at, Event::RequestArrived(Box::new(arrival.clone())));
         arrival.id
     }
 
-    /// Has a request arrive, and waits until it was dispatched.
-    pub(crate) fn dispatched(&mut self, at: usize, arrival: &Arrival) -> RequestId {
-        let id = self.arrive(at, arrival);
-        self.pass(200);
-        assert_eq!(self.nodes[at].runs(id).len(), 1, "{:?}", self.nodes[at].out);
+    /// Submits a request and waits until it is dispatched.
+    pub(crate) fn submit_and_dispatch(&mut self, at: usize, arrival: &Arrival) -> RequestId {
+        let id = self.submit(at, arrival);
+        self.advance(200);
+        assert_eq!(
+            self.nodes[at].runs(id).len(),
+            1,
+            "{:?}",
+            self.nodes[at].effects
+        );
         id
     }
 
-    /// Ends a completion's run whole.
-    pub(crate) fn whole(&mut self, at: usize, id: RequestId) {
+    /// Ends a completion's run with its full answer.
+    pub(crate) fn complete(&mut self, at: usize, id: RequestId) {
         let usage = Usage {
             prompt: Tokens(3),
             answer: Tokens(20),
         };
-        self.tell(at, Event::RunEnded(id, RunEnd::Completed { usage }));
+        self.handle(at, Event::RunEnded(id, RunEnd::Completed { usage }));
     }
 
-    /// Ends all runs of a router whole.
-    pub(crate) fn end_all(&mut self, at: usize) {
+    /// Ends all of a router's runs with their full answers.
+    pub(crate) fn complete_all(&mut self, at: usize) {
         let ids: Vec<_> = self.nodes[at].core.requests.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.whole(at, id));
+        ids.into_iter().for_each(|id| self.complete(at, id));
     }
 
-    /// Folds the whole log anew.
+    /// Builds the ledger from all records of the log.
     pub(crate) fn ledger(&self) -> Ledger {
         let mut ledger = Ledger::default();
         for (offset, bytes) in self.records.iter().enumerate() {
@@ -360,12 +365,12 @@
         self.ledger().key(&key).cloned()
     }
 
-    /// Returns what the log says that a request was billed.
+    /// Returns the amount billed for a request, by the log.
     pub(crate) fn bill(&self, key: &str) -> Option<u64> {
         Some(self.key_state(key)?.bill?.amount.0)
     }
 
-    /// Returns what the log says that the team spent.
+    /// Returns the amount that the team has spent, by the log.
     pub(crate) fn spent(&self) -> u64 {
         let team = "loans".parse().expect("a name");
         self.ledger().team(&team).map_or(0, |team| team.spent.0)
@@ -373,24 +378,23 @@
 }
 
 impl Node {
-    /// Returns a request's dispatches.
+    /// Returns the dispatches of a request.
     pub(crate) fn runs(&self, id: RequestId) -> Vec<&Run> {
-        let runs = self.out.iter().filter_map(|effect| match effect {
+        let runs = self.effects.iter().filter_map(|effect| match effect {
             Effect::Run(of, run) if *of == id => Some(&**run),
             _ => None,
         });
         runs.collect()
     }
 
-    /// Counts all dispatches.
     pub(crate) fn dispatches(&self) -> u64 {
-        let runs = self.out.iter().filter(|e| matches!(e, Effect::Run(..)));
+        let runs = self.effects.iter().filter(|e| matches!(e, Effect::Run(..)));
         runs.count() as u64
     }
 
-    /// Returns a request's refusal.
+    /// Returns the problem with which a request was refused or cut.
     pub(crate) fn refusal(&self, id: RequestId) -> Option<&Problem> {
-        self.out.iter().find_map(|effect| match effect {
+        self.effects.iter().find_map(|effect| match effect {
             Effect::Refuse(of, problem) | Effect::Abort(of, problem) if *of == id => {
                 Some(&**problem)
             }
@@ -398,21 +402,21 @@
         })
     }
 
-    /// Returns whether the end of a request's answer went out.
+    /// Returns whether the end of a request's answer was released to the caller.
     pub(crate) fn released(&self, id: RequestId) -> bool {
         let release = |effect: &Effect| matches!(effect, Effect::FinishAnswer(of) if *of == id);
-        self.out.iter().any(release)
+        self.effects.iter().any(release)
     }
 
-    /// Returns whether a request's answer was cut.
+    /// Returns whether a request's answer was cut off.
     pub(crate) fn cut(&self, id: RequestId) -> bool {
         let cut = |effect: &Effect| matches!(effect, Effect::Abort(of, _) if *of == id);
-        self.out.iter().any(cut)
+        self.effects.iter().any(cut)
     }
 
-    /// Returns what a request was answered with from the ledger.
+    /// Returns the status and body replayed from the ledger for a request.
     pub(crate) fn replayed(&self, id: RequestId) -> Option<(u16, &[u8])> {
-        self.out.iter().find_map(|effect| match effect {
+        self.effects.iter().find_map(|effect| match effect {
             Effect::Replay(of, replay) if *of == id => Some((replay.status, &replay.body[..])),
             _ => None,
         })
@@ -455,7 +459,7 @@
             "kind": {"engine": {"models": ["demo"], "max_tokens": 1000}}, "select": {"role": ["engine"]},
         })),
         change("pool", "records", json!({
-            "kind": {"service": {"name": "records", "price": PRICE}}, "select": {"role": ["records"]},
+            "kind": {"service": {"name": "records", "price": CALL_TOKENS}}, "select": {"role": ["records"]},
         })),
         change("team", "loans", json!({"bearer": "team"})),
         change("account", "yard", json!({"keys": [KeyHash::of("yard-key").to_string()]})),
--- a/src/router/tests/hung_up.rs
+++ b/src/router/tests/hung_up.rs
@@ -1,67 +1,67 @@
-//! Callers that go away.
+//! Callers that disconnect before their answer is complete.
 
 use crate::ledger::Outcome;
 use crate::router::Event;
 use crate::router::RunEnd;
 use crate::router::Usage;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::PRICE;
+use crate::router::tests::cluster::CALL_TOKENS;
+use crate::router::tests::cluster::Cluster;
 use crate::tokens::Tokens;
 
-/// A caller hangs up while its call's claim is on its way. Nothing was sent to the service, so nothing is billed and the
-/// retry runs.
+/// A caller hangs up while its call's claim is still being appended. Nothing was sent to the service, so nothing is
+/// billed and a retry runs.
 #[test]
-fn before_the_claims_verdict_the_claim_is_given_up() {
-    let mut bench = Bench::start(1);
-    let ask = bench.call("h1", 1);
-    let id = bench.arrive(0, &ask);
-    bench.tell(0, Event::CallerGone(id));
-    bench.pass(300);
-    assert!(bench.nodes[0].runs(id).is_empty());
-    assert!(bench.nodes[0].core.requests.is_empty());
-    assert_eq!(bench.spent(), 0);
-    let retry = bench.call("h1", 2);
-    bench.dispatched(0, &retry);
+fn a_hang_up_before_the_verdict_releases_the_claim() {
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.call("h1", 1);
+    let id = cluster.submit(0, &ask);
+    cluster.handle(0, Event::CallerGone(id));
+    cluster.advance(300);
+    assert!(cluster.nodes[0].runs(id).is_empty());
+    assert!(cluster.nodes[0].core.requests.is_empty());
+    assert_eq!(cluster.spent(), 0);
+    let retry = cluster.call("h1", 2);
+    cluster.submit_and_dispatch(0, &retry);
 }
 
-/// The core dispatches a call in the moment in which its caller hangs up: the task that was to send it is gone. Nobody
-/// sends it, and no answer ever comes. Were its claim left standing, each retry would be told until the router's end that
-/// the call is in progress.
+/// The core dispatches a call just as its caller hangs up, and the task that was to send it no longer exists. The call
+/// is never sent and never answered. If its claim were kept, every retry would be told that the call is in progress for
+/// as long as the router runs.
 #[test]
-fn a_dispatch_that_nobody_carries_out_is_given_up() {
+fn an_unsent_dispatch_releases_its_claim() {
     for hung_up_first in [true, false] {
-        let mut bench = Bench::start(1);
+        let mut cluster = Cluster::start(1);
         for (key, call) in [("h2", true), ("h3", false)] {
-            let mut ask = bench.chat(key, 1);
+            let mut ask = cluster.chat(key, 1);
             if call {
-                ask = bench.call(key, 1);
+                ask = cluster.call(key, 1);
             }
-            let id = bench.dispatched(0, &ask);
+            let id = cluster.submit_and_dispatch(0, &ask);
             if hung_up_first {
-                bench.tell(0, Event::CallerGone(id));
+                cluster.handle(0, Event::CallerGone(id));
             }
-            bench.tell(0, Event::RunEnded(id, RunEnd::Unsent));
-            bench.pass(300);
-            assert!(!bench.nodes[0].core.requests.contains_key(&id), "{key}");
-            assert_eq!(bench.bill(key), None, "{key}");
-            assert_eq!(bench.spent(), 0);
-            let mut retry = bench.chat(key, 2);
+            cluster.handle(0, Event::RunEnded(id, RunEnd::Unsent));
+            cluster.advance(300);
+            assert!(!cluster.nodes[0].core.requests.contains_key(&id), "{key}");
+            assert_eq!(cluster.bill(key), None, "{key}");
+            assert_eq!(cluster.spent(), 0);
+            let mut retry = cluster.chat(key, 2);
             if call {
-                retry = bench.call(key, 2);
+                retry = cluster.call(key, 2);
             }
-            let retry = bench.dispatched(0, &retry);
+            let retry = cluster.submit_and_dispatch(0, &retry);
             assert_ne!(retry, id);
         }
     }
 }
 
-/// The first endpoint broke over a completion after it had used some tokens, and the caller hung up before the next one
-/// was asked. What was used is billed once.
+/// The first endpoint failed during a completion after using some tokens, and the caller hung up before the request
+/// went to the next endpoint. The used tokens are billed once.
 #[test]
-fn what_an_earlier_run_used_is_billed_though_the_next_is_not_sent() {
-    let mut bench = Bench::start(1);
-    let ask = bench.chat("h4", 1);
-    let id = bench.dispatched(0, &ask);
+fn an_earlier_runs_usage_is_billed_when_the_next_is_unsent() {
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.chat("h4", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
     let usage = Usage {
         prompt: Tokens(3),
         answer: Tokens(4),
@@ -71,63 +71,66 @@
         answer_begun: false,
         endpoint_died: false,
     };
-    bench.tell(0, Event::RunEnded(id, broken));
-    assert_eq!(bench.nodes[0].runs(id).len(), 2);
-    bench.tell(0, Event::CallerGone(id));
-    bench.tell(0, Event::RunEnded(id, RunEnd::Unsent));
-    bench.pass(300);
-    assert_eq!(bench.bill("h4"), Some(7));
-    assert_eq!(bench.spent(), 7);
-    assert!(bench.nodes[0].core.requests.is_empty());
+    cluster.handle(0, Event::RunEnded(id, broken));
+    assert_eq!(cluster.nodes[0].runs(id).len(), 2);
+    cluster.handle(0, Event::CallerGone(id));
+    cluster.handle(0, Event::RunEnded(id, RunEnd::Unsent));
+    cluster.advance(300);
+    assert_eq!(cluster.bill("h4"), Some(7));
+    assert_eq!(cluster.spent(), 7);
+    assert!(cluster.nodes[0].core.requests.is_empty());
 }
 
 #[test]
-fn while_a_call_runs_its_outcome_is_kept() {
-    let mut bench = Bench::start(1);
-    let ask = bench.call("h5", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::CallerGone(id));
-    bench.pass(200);
+fn a_calls_outcome_is_recorded_after_a_hang_up() {
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.call("h5", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.handle(0, Event::CallerGone(id));
+    cluster.advance(200);
     let body = Some(b"receipt".to_vec());
-    bench.tell(
+    cluster.handle(
         0,
         Event::RunEnded(id, RunEnd::Answered { status: 201, body }),
     );
-    bench.pass(200);
-    let again = bench.call("h5", 2);
-    let again = bench.arrive(0, &again);
-    assert_eq!(bench.nodes[0].replayed(again), Some((201, &b"receipt"[..])));
-    assert_eq!(bench.spent(), PRICE);
+    cluster.advance(200);
+    let again = cluster.call("h5", 2);
+    let again = cluster.submit(0, &again);
+    assert_eq!(
+        cluster.nodes[0].replayed(again),
+        Some((201, &b"receipt"[..]))
+    );
+    assert_eq!(cluster.spent(), CALL_TOKENS);
 }
 
 #[test]
-fn in_a_stream_what_was_used_is_billed() {
-    let mut bench = Bench::start(1);
-    let ask = bench.chat("h6", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.tell(0, Event::AnswerStarted(id));
+fn a_hang_up_in_a_stream_bills_the_usage() {
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.chat("h6", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.handle(0, Event::AnswerStarted(id));
     let usage = Some(Usage {
         prompt: Tokens(3),
         answer: Tokens(5),
     });
-    bench.tell(0, Event::RunEnded(id, RunEnd::CallerGone { usage }));
-    bench.pass(200);
-    let bill = bench
+    cluster.handle(0, Event::RunEnded(id, RunEnd::CallerGone { usage }));
+    cluster.advance(200);
+    let bill = cluster
         .key_state("h6")
         .and_then(|key| key.bill)
         .expect("a bill");
     assert_eq!((bill.amount, bill.outcome), (Tokens(8), Outcome::Cut));
-    assert_eq!(bench.spent(), 8);
+    assert_eq!(cluster.spent(), 8);
 }
 
 #[test]
-fn while_its_bill_is_on_its_way_the_bill_stands() {
-    let mut bench = Bench::start(1);
-    let ask = bench.chat("h7", 1);
-    let id = bench.dispatched(0, &ask);
-    bench.whole(0, id);
-    bench.tell(0, Event::CallerGone(id));
-    bench.pass(200);
-    assert_eq!(bench.bill("h7"), Some(23));
-    assert!(bench.nodes[0].core.requests.is_empty());
+fn a_hang_up_while_the_bill_is_pending_leaves_the_bill() {
+    let mut cluster = Cluster::start(1);
+    let ask = cluster.chat("h7", 1);
+    let id = cluster.submit_and_dispatch(0, &ask);
+    cluster.complete(0, id);
+    cluster.handle(0, Event::CallerGone(id));
+    cluster.advance(200);
+    assert_eq!(cluster.bill("h7"), Some(23));
+    assert!(cluster.nodes[0].core.requests.is_empty());
 }
--- a/src/router/tests/mod.rs
+++ b/src/router/tests/mod.rs
@@ -5,26 +5,26 @@
     reason = "a test reads its start time from the system clock"
 )]
 
-mod behind;
-mod bench;
-mod commit;
-mod contended;
-mod drained;
+mod cluster;
+mod commit_timing;
+mod concurrent_attempts;
+mod drain;
 mod drained_domains;
+mod endpoint_restart;
 mod fleet_clock;
 mod fragmented;
 mod grants;
+mod group_commit;
 mod heartbeats;
 mod hung_up;
-mod isolated;
 mod ledger_budget;
 mod outage;
 mod owners;
-mod pace;
-mod power_lost;
+mod partition;
+mod power_loss;
 mod random;
-mod reborn;
 mod refused;
 mod reincarnated;
 mod site;
+mod stale_config;
 mod starved;
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -1,5 +1,5 @@
-//! Many interleavings: whatever happens in whatever order, nothing panics, no budget is passed, each request is billed
-//! once, and a call that may not be repeated reaches its service once.
+//! Random interleavings of events: nothing panics, no budget is exceeded, each request is billed once, and a call that
+//! must not be repeated reaches its service at most once.
 
 use std::time::Duration;
 
@@ -17,18 +17,18 @@
 use crate::router::RunEnd;
 use crate::router::Usage;
 use crate::router::request::State;
-use crate::router::tests::bench::Bench;
-use crate::router::tests::bench::Log;
-use crate::router::tests::bench::tuning;
+use crate::router::tests::cluster::Cluster;
+use crate::router::tests::cluster::LogState;
+use crate::router::tests::cluster::tuning;
 use crate::tokens::Tokens;
 
-/// What the team has prepaid: enough for some of the requests.
-const BUDGET: u64 = 1_500;
+/// The team's prepaid budget: enough for only some of the requests.
+const BUDGET_TOKENS: u64 = 1_500;
 
-/// What the steps are drawn from.
+/// Seed of the random steps.
 const SEED: u64 = 1;
 
-/// What happens next; the numbers pick the router, the key and the like.
+/// One random event; the numbers select the router, the key and other parameters.
 #[derive(Clone, Debug)]
 enum Step {
     Chat(usize, u8, u8),
@@ -37,8 +37,8 @@
     Ended(usize, usize, u8),
     Log(u8),
     Link(bool),
-    Pass(u16),
-    Leap(u16),
+    Advance(u16),
+    ClockJump(u16),
     Paused(usize),
     Unheard(usize, u8),
     TopUp(u8, u8),
@@ -47,20 +47,20 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let at = usize::arbitrary(g) % 2;
-        let any = usize::arbitrary(g);
+        let index = usize::arbitrary(g);
         let (a, b) = (u8::arbitrary(g), u8::arbitrary(g));
         match u8::arbitrary(g) % 24 {
             0..=4 => Self::Chat(at, a, b),
             5..=8 => Self::Call(at, a, b),
-            9 => Self::HungUp(at, any),
-            10..=13 => Self::Ended(at, any, a),
+            9 => Self::HungUp(at, index),
+            10..=13 => Self::Ended(at, index, a),
             14 => Self::Log(a),
             15 => Self::Link(a % 3 > 0),
-            16..=20 => Self::Pass(u16::from(a)),
+            16..=20 => Self::Advance(u16::from(a)),
             21 => match b % 4 {
-                0 => Self::Leap(u16::from(a) * 40),
+                0 => Self::ClockJump(u16::from(a) * 40),
                 1 => Self::Paused(at),
-                _ => Self::Pass(u16::from(a) * 4),
+                _ => Self::Advance(u16::from(a) * 4),
             },
             22 => Self::Unheard(at, a),
             _ => Self::TopUp(a, b),
@@ -68,68 +68,68 @@
     }
 }
 
-/// A run and what the test knows of it.
+/// A cluster under test and what the test has recorded about its calls.
 struct Trial {
-    bench: Bench,
-    /// The keys of the calls, by request.
+    cluster: Cluster,
+    /// The key of each call and the router that it was submitted to.
     calls: IndexMap<RequestId, (String, usize)>,
-    /// How many of their dispatches are known not to have reached the service.
-    missed: IndexMap<RequestId, usize>,
+    /// The number of each call's dispatches that are known not to have reached the service.
+    undelivered: IndexMap<RequestId, usize>,
 }
 
 impl Trial {
     fn new() -> Self {
-        let mut bench = Bench::unfunded(vec![tuning(0), tuning(1)]);
-        bench.top_up("first", BUDGET);
+        let mut cluster = Cluster::without_budget(vec![tuning(0), tuning(1)]);
+        cluster.top_up("first", BUDGET_TOKENS);
         Self {
-            bench,
+            cluster,
             calls: IndexMap::new(),
-            missed: IndexMap::new(),
+            undelivered: IndexMap::new(),
         }
     }
 
     fn step(&mut self, step: &Step) {
-        let bench = &mut self.bench;
+        let cluster = &mut self.cluster;
         match *step {
             Step::Chat(at, key, attempt) => {
-                let ask = bench.chat(&format!("chat-{}", key % 12), u64::from(attempt % 4));
-                bench.arrive(at, &ask);
+                let ask = cluster.chat(&format!("chat-{}", key % 12), u64::from(attempt % 4));
+                cluster.submit(at, &ask);
             }
             Step::Call(at, key, attempt) => {
                 let key = format!("call-{}", key % 12);
-                let ask = bench.call(&key, u64::from(attempt % 4));
-                let id = bench.arrive(at, &ask);
+                let ask = cluster.call(&key, u64::from(attempt % 4));
+                let id = cluster.submit(at, &ask);
                 self.calls.insert(id, (key, at));
             }
-            Step::HungUp(at, any) => {
-                if let Some(id) = self.pick(at, any) {
-                    self.bench.tell(at, Event::CallerGone(id));
+            Step::HungUp(at, index) => {
+                if let Some(id) = self.pick(at, index) {
+                    self.cluster.handle(at, Event::CallerGone(id));
                 }
             }
-            Step::Ended(at, any, how) => {
-                if let Some(id) = self.pick(at, any) {
+            Step::Ended(at, index, how) => {
+                if let Some(id) = self.pick(at, index) {
                     let end = self.end(id, how);
-                    let state = &self.bench.nodes[at].core.requests[&id].state;
+                    let state = &self.cluster.nodes[at].core.requests[&id].state;
                     let running = matches!(state, State::Running { .. });
                     if running && matches!(end, RunEnd::NotRun { .. } | RunEnd::Unsent) {
-                        *self.missed.entry(id).or_default() += 1;
+                        *self.undelivered.entry(id).or_default() += 1;
                     }
-                    self.bench.tell(at, Event::RunEnded(id, end));
+                    self.cluster.handle(at, Event::RunEnded(id, end));
                 }
             }
             Step::Log(how) => {
-                bench.log = match how % 4 {
-                    0 => Log::Down,
-                    1 => Log::LosesAnswers,
-                    _ => Log::Up,
+                cluster.log = match how % 4 {
+                    0 => LogState::Down,
+                    1 => LogState::LosesResponses,
+                    _ => LogState::Up,
                 }
             }
-            Step::Link(linked) => bench.linked = linked,
-            Step::Pass(millis) => bench.pass(u64::from(millis)),
-            Step::Leap(millis) => bench.now += Duration::from_millis(u64::from(millis)),
+            Step::Link(linked) => cluster.connected = linked,
+            Step::Advance(millis) => cluster.advance(u64::from(millis)),
+            Step::ClockJump(millis) => cluster.now += Duration::from_millis(u64::from(millis)),
             Step::Paused(at) => {
-                bench.now += Duration::from_secs(5);
-                bench.tell(at, Event::Paused);
+                cluster.now += Duration::from_secs(5);
+                cluster.handle(at, Event::Paused);
             }
             Step::Unheard(at, kind) => {
                 let vm = format!("router-{}", 1 - at).parse().expect("a name");
@@ -138,17 +138,17 @@
                     1 => PeerFailure::Mute,
                     _ => PeerFailure::Unreachable,
                 };
-                bench.tell(at, Event::HeartbeatFailed(vm, silence));
+                cluster.handle(at, Event::HeartbeatFailed(vm, silence));
             }
-            Step::TopUp(id, amount) => bench.top_up(&format!("t{}", id % 4), u64::from(amount)),
+            Step::TopUp(id, amount) => cluster.top_up(&format!("t{}", id % 4), u64::from(amount)),
         }
     }
 
-    /// Picks a request that a router has in progress.
-    fn pick(&self, at: usize, any: usize) -> Option<RequestId> {
-        let requests = &self.bench.nodes[at].core.requests;
+    /// Selects one of a router's requests in progress.
+    fn pick(&self, at: usize, index: usize) -> Option<RequestId> {
+        let requests = &self.cluster.nodes[at].core.requests;
         let count = requests.len();
-        let (id, _) = requests.get_index(any.checked_rem(count)?)?;
+        let (id, _) = requests.get_index(index.checked_rem(count)?)?;
         Some(*id)
     }
 
@@ -180,15 +180,15 @@
         }
     }
 
-    /// Mends all and lets it come to rest.
-    fn settle(&mut self) {
-        self.bench.log = Log::Up;
-        self.bench.linked = true;
-        self.bench.pass(3000);
+    /// Restores the log and the link, then runs until the cluster has settled.
+    fn recover(&mut self) {
+        self.cluster.log = LogState::Up;
+        self.cluster.connected = true;
+        self.cluster.advance(3000);
     }
 
     fn check(&self) -> Result<(), String> {
-        let ledger = self.bench.ledger();
+        let ledger = self.cluster.ledger();
         let team = "loans".parse().expect("a name");
         let state = ledger.team(&team).ok_or("no team")?;
         let held: Tokens = ledger
@@ -197,7 +197,7 @@
             .map(|holding| holding.free + holding.claimed)
             .sum();
         if state.spent + state.lost + held > state.prepaid {
-            return Err(format!("beyond the budget: {state:?}"));
+            return Err(format!("budget exceeded: {state:?}"));
         }
         let bills: Tokens = ledger
             .keys()
@@ -205,34 +205,40 @@
             .map(|bill| bill.amount)
             .sum();
         if bills != state.spent {
-            return Err(format!("bills of {bills}, spent {}", state.spent));
+            return Err(format!(
+                "bills add up to {bills}, but {} was spent",
+                state.spent
+            ));
         }
         self.check_purses(&ledger)?;
         self.check_calls()
     }
 
-    /// What a router would reserve has to be there: after all is folded, it is what the ledger says at most.
+    /// With no appends pending, a router must not have more available for reservations than the ledger grants it.
     fn check_purses(&self, ledger: &Ledger) -> Result<(), String> {
-        for node in &self.bench.nodes {
+        for node in &self.cluster.nodes {
             let core = &node.core;
             for (team, purse) in &core.ledger_budgets {
                 let free = ledger.holding(core.me, team).free;
                 let credit = core.appender.waiting() > 0;
                 if !credit && purse.available(free) > free {
-                    return Err(format!("{} available of {free}", purse.available(free)));
+                    return Err(format!(
+                        "purse offers {} of {free} free tokens",
+                        purse.available(free)
+                    ));
                 }
             }
         }
         Ok(())
     }
 
-    /// A call reaches its service once under its key, and one that did is never refused as not run.
+    /// A call reaches its service at most once per key, and one that did is never refused as not run.
     fn check_calls(&self) -> Result<(), String> {
         let mut ran: IndexMap<&str, usize> = IndexMap::new();
         for (id, (key, at)) in &self.calls {
-            let node = &self.bench.nodes[*at];
-            let missed = self.missed.get(id).copied().unwrap_or_default();
-            let reached = node.runs(*id).len() - missed;
+            let node = &self.cluster.nodes[*at];
+            let undelivered = self.undelivered.get(id).copied().unwrap_or_default();
+            let reached = node.runs(*id).len() - undelivered;
             let refused = node.refusal(*id);
             if reached > 0 && refused.is_some_and(|problem| problem.ran == Ran::No) {
                 return Err(format!("{key} was refused as not run and ran"));
@@ -246,29 +252,29 @@
     }
 }
 
-fn holds(steps: Vec<Step>) -> Result<(), String> {
+fn invariants_hold(steps: Vec<Step>) -> Result<(), String> {
     let mut trial = Trial::new();
     for step in &steps {
         trial.step(step);
     }
-    trial.settle();
+    trial.recover();
     let exits = |effect: &Effect| matches!(effect, Effect::Exit { .. });
     if trial
-        .bench
+        .cluster
         .nodes
         .iter()
-        .any(|node| node.out.iter().any(exits))
+        .any(|node| node.effects.iter().any(exits))
     {
-        return Err("it ended".to_owned());
+        return Err("a router exited".to_owned());
     }
     trial.check()
 }
 
 #[test]
-fn no_interleaving_breaks_what_must_hold() {
+fn no_interleaving_breaks_an_invariant() {
     println!("seed={SEED}");
     QuickCheck::new()
         .tests(200)
         .rng(Gen::from_size_and_seed(120, SEED))
-        .quickcheck(holds as fn(Vec<Step>) -> Result<(), String>);
+        .quickcheck(invariants_hold as fn(Vec<Step>) -> Result<(), String>);
 }
