--- a/src/router/tests/outage.rs
+++ b/src/router/tests/outage.rs
@@ -146,7 +146,8 @@
     cluster.log = LogState::Up;
     cluster.advance(5000);
     let all = cluster.nodes[0].dispatches() + cluster.nodes[1].dispatches();
-    assert_eq!(cluster.spent(),
+    assert_eq!(
+        cluster.spent(),
         all * 23,
         "each request that was served is billed"
     );
--- a/src/router/tests/partition.rs
+++ b/src/router/tests/partition.rs
@@ -44,7 +44,10 @@
 /// partition, and keeps its holdings for as long as a partition may last.
 #[test]
 fn the_time_to_close_a_silent_router_depends_on_the_kind_of_silence() {
-    let refused = time_to_close(&mut two_routers(ConsistencyMode::Strict), PeerFailure::Refused);
+    let refused = time_to_close(
+        &mut two_routers(ConsistencyMode::Strict),
+        PeerFailure::Refused,
+    );
     let mute = time_to_close(&mut two_routers(ConsistencyMode::Strict), PeerFailure::Mute);
     let away = time_to_close(
         &mut two_routers(ConsistencyMode::Strict),
@@ -60,7 +63,10 @@
         "{away:?}"
     );
     // In available mode, a router that may still be serving keeps its holdings as well.
-    let mute = time_to_close(&mut two_routers(ConsistencyMode::Available), PeerFailure::Mute);
+    let mute = time_to_close(
+        &mut two_routers(ConsistencyMode::Available),
+        PeerFailure::Mute,
+    );
     assert!(mute >= PARTITION_TIMEOUT, "{mute:?}");
 }
 
--- a/src/router/tests/reincarnated.rs
+++ b/src/router/tests/reincarnated.rs
@@ -39,7 +39,8 @@
     append_close(cluster);
     cluster.advance(500);
     assert_ne!(cluster.nodes[0].core.me, old);
-    assert!(cluster.nodes[0].core.is_serving(),
+    assert!(
+        cluster.nodes[0].core.is_serving(),
         "it restarts as a new incarnation"
     );
 }
