--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Whether a change is sound by itself.
+//! Validation of single changes and documents, independent of the configuration that they are applied to.
 
 use indexmap::IndexSet;
 
@@ -17,17 +17,17 @@
 use crate::labels::Selector;
 use crate::tokens::Tokens;
 
-/// The most changes of one record: ten times the hourly share of 4,800 changes a day. It bounds how
-/// long one record can hold up the loop.
+/// Maximum number of changes in one record: ten times the hourly share of 4,800 changes a day. Bounds how long one
+/// record can block the event loop.
 const MAX_CHANGES: usize = 2000;
 
-/// The last of the priorities.
+/// The lowest priority; 0 is the highest.
 const MAX_PRIORITY: u8 = 9;
 
-/// The most keys of one account: the old one, the new one, and room for a change that overlaps another.
+/// Maximum number of keys per account: the old and the new key, with room for overlapping key rotations.
 const MAX_KEYS: usize = 8;
 
-/// The largest share of one account. Shares only tell against each other, so that more adds nothing.
+/// Maximum weight of an account. Weights are relative to each other, so a larger range adds nothing.
 const MAX_WEIGHT: u32 = 1000;
 
 pub(crate) fn check_count(changes: &[Change]) -> Result<(), Rejected> {
@@ -68,7 +68,7 @@
     check(&path, body)
 }
 
-/// Checks a document's content; `path` is where it stands.
+/// Checks a document's content; `path` is the document's path for error messages.
 fn check(path: &str, body: &Body) -> Result<(), Rejected> {
     match body {
         Body::Account(account) => check_account(path, account),
@@ -169,7 +169,7 @@
     ))
 }
 
-/// A label without allowed values would match nothing, which nobody means.
+/// Rejects a label without allowed values: it would match nothing, which is never intended.
 fn check_selector(path: &str, selector: &Selector) -> Result<(), Rejected> {
     match selector.0.iter().find(|(_, values)| values.is_empty()) {
         None => Ok(()),
--- a/src/config/checkpoint.rs
+++ b/src/config/checkpoint.rs
@@ -1,4 +1,4 @@
-//! The whole configuration as a record of its own stream.
+//! Checkpoints: records of the configuration stream that hold the whole configuration.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,24 +6,24 @@
 use crate::config::put::FORMAT;
 use crate::config::snapshot::Snapshot;
 
-/// A record that routers publish: the configuration as of an earlier offset.
+/// A record published by routers that holds the configuration as of an earlier offset.
 ///
-/// The log service keeps records for a limited time, and no router keeps anything. Were all routers replaced at once
-/// after that time, the configuration would be gone, and every request refused, with nobody having changed anything. A
-/// checkpoint that is renewed within that time carries it on.
+/// The log service keeps records for a limited retention time, and routers have no durable storage. If all routers were
+/// replaced at once after that time, the configuration would be lost and every request refused, although nothing had
+/// been changed. Renewing the checkpoint within the retention time prevents this.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
-    /// The format, 1.
+    /// The format version, 1.
     pub format: u32,
-    /// Who publishes it, for people.
+    /// Name of the publisher, informational only.
     pub by: String,
     /// The configuration.
     pub checkpoint: Snapshot,
 }
 
 impl Checkpoint {
-    /// Makes a record of a configuration.
+    /// Creates a checkpoint from a snapshot.
     pub fn new(by: &str, snapshot: Snapshot) -> Self {
         Self {
             format: FORMAT,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Writes a record.
+    /// Serializes the checkpoint as JSON.
     ///
     /// # Panics
     ///
-    /// Never: each part of it can be written as JSON.
+    /// Never: every field can be represented as JSON.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a checkpoint is JSON")
+        serde_json::to_vec(self).expect("checkpoint serializes to JSON")
     }
 }
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The documents of a configuration.
+//! The documents that make up a configuration.
 
 use std::fmt;
 use std::str::FromStr;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Tells why a text names no kind of documents.
+/// The error of parsing an unknown document kind.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{0:?} is none of account, team, pool and rule")]
 pub struct KindError(String);
@@ -72,7 +72,7 @@
 }
 
 impl Body {
-    /// Returns the kind of document that it is the content of.
+    /// Returns the kind of document that this content belongs to.
     pub fn kind(&self) -> Kind {
         match self {
             Self::Account(_) => Kind::Account,
@@ -83,31 +83,31 @@
     }
 }
 
-/// A client account: who may call.
+/// A client account: the identity that a caller authenticates as.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountSpec {
-    /// The SHA-256 of each bearer key that is good for it, in hex. Two allow a key to be changed without a gap.
+    /// The SHA-256 of each valid bearer key, in hex. Two keys allow rotation without downtime.
     pub keys: Vec<String>,
-    /// Labels that each of its requests carries; a caller cannot override them.
+    /// Labels attached to each request of the account; a caller cannot override them.
     #[serde(default)]
     pub labels: Labels,
-    /// What it may ask for.
+    /// The account's request limits.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// What a client account may ask for.
+/// Request limits of a client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests a second in the long run.
+    /// Sustained rate in requests per second.
     pub rate: u32,
-    /// Requests at once over the rate.
+    /// Burst size: requests allowed at once above the rate.
     pub burst: u32,
-    /// Requests in progress at one router.
+    /// Maximum number of concurrent requests per router.
     pub concurrency: u32,
-    /// Its share of a full router, against other accounts' shares.
+    /// Relative share of a saturated router's capacity, compared with the weights of other accounts.
     pub weight: u32,
 }
 
@@ -126,10 +126,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamSpec {
-    /// Labels for people.
+    /// Labels, informational only.
     #[serde(default)]
     pub labels: Labels,
-    /// Who bears what is used without a bill.
+    /// Who bears the cost of usage that was not billed.
     #[serde(default = "TeamSpec::bearer")]
     pub bearer: Bearer,
 }
@@ -140,18 +140,18 @@
     }
 }
 
-/// A pool: endpoints of one kind, picked by their labels in the VM list.
+/// A pool: endpoints of one kind, selected by their labels in the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
-    /// What its endpoints are.
+    /// The kind of its endpoints.
     pub kind: PoolKind,
-    /// Picks its endpoints from the VM list.
+    /// Selects the pool's endpoints from the VM list.
     pub select: Selector,
-    /// Whether its endpoints check the fencing number of an order.
+    /// Whether its endpoints check the fencing token of an order.
     #[serde(default)]
     pub fenced: bool,
-    /// Requests that one endpoint may run at once; the limit adapts below it.
+    /// Maximum number of concurrent requests per endpoint; the adaptive limit stays at or below it.
     #[serde(default = "PoolSpec::concurrency")]
     pub concurrency: u32,
 }
@@ -166,39 +166,40 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum PoolKind {
-    /// Model engines.
+    /// Inference engines.
     Engine {
-        /// The models that they serve.
+        /// The models served.
         models: Vec<ModelId>,
-        /// The most tokens that an answer may have; also the reservation where the caller names no limit.
+        /// Maximum number of tokens in an answer; also the amount reserved if the caller sets no limit.
         max_tokens: Tokens,
     },
-    /// A plain service.
+    /// An HTTP service.
     Service {
-        /// The name in `/v1/services/NAME/...`.
+        /// The service name in the path `/v1/services/NAME/...`.
         name: String,
-        /// What a call costs.
+        /// The price of one call.
         price: Tokens,
-        /// Whether each method may be repeated: `GET`, `HEAD`, `PUT` and `DELETE` may unless it says otherwise.
+        /// Whether requests may be repeated, by method. By default `GET`, `HEAD`, `PUT` and `DELETE` may be.
         #[serde(default)]
         repeatable: IndexMap<String, bool>,
     },
 }
 
-/// A rule: which requests a team pays for and where they go. The first that matches, by order and then by name, counts.
+/// A routing rule: assigns matching requests to a paying team and a pool. The first matching rule applies, by `order`
+/// and then by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleSpec {
-    /// Lower ones are tried first.
+    /// Rules with a lower order are evaluated first.
     pub order: u32,
-    /// Picks the requests, over their labels. Besides what account and caller attach there are `account`, `model`
-    /// (of a completion) and `service` (of a call).
+    /// Selects requests by label. Besides the labels attached by the account and the caller, requests have `account`,
+    /// `model` (completions) and `service` (service calls).
     pub when: Selector,
-    /// Who pays.
+    /// The team that pays.
     pub team: TeamId,
-    /// Where they go.
+    /// The pool that serves the requests.
     pub pool: PoolId,
-    /// 0 (first) to 9 (last) in a queue.
+    /// Queue priority, from 0 (highest) to 9 (lowest).
     #[serde(default = "RuleSpec::priority")]
     pub priority: u8,
 }
--- a/src/config/index.rs
+++ b/src/config/index.rs
@@ -1,4 +1,4 @@
-//! What requests are looked up by.
+//! Lookup indexes for keys, service names and rules.
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -15,18 +15,18 @@
 use crate::ids::TeamId;
 use crate::key_hash::KeyHash;
 
-/// The label that tells whose request it is; each request has it.
+/// The label that holds the client account's name; every request has it.
 pub(crate) const ACCOUNT: &str = "account";
 
-/// Rules in the order in which they are tried. A sorted set, since `indexmap` has none that stays sorted at a cost that
-/// does not grow with it. It holds names alone: what the rules say stands in the documents.
+/// Rule names in evaluation order. A `BTreeSet`, since keeping an `indexmap` set sorted costs time proportional to its
+/// size. The content of the rules is in the documents.
 type Rules = BTreeSet<(u32, DocName)>;
 
-/// Keys, service names and the rules' order, kept beside the documents so that no request searches through them.
+/// Indexes of keys, service names and rules, so that no request scans all documents.
 ///
-/// Rules that name accounts are kept by account. With hundreds of thousands of teams there are as many rules; trying all
-/// of them for each request would take tens of milliseconds of the one thread, and so those of other accounts are not
-/// looked at.
+/// Rules that select by account are indexed by account. With hundreds of thousands of teams there are as many rules,
+/// and evaluating all of them for each request would occupy the single thread for tens of milliseconds; therefore the
+/// rules of other accounts are skipped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Index {
     keys: IndexMap<KeyHash, DocName>,
@@ -42,7 +42,7 @@
         self.keys.get(key)
     }
 
-    /// Returns the first rule that matches a request of an account.
+    /// Returns the first rule, in evaluation order, that matches a request of an account.
     pub(crate) fn route<M>(&self, account: Option<&str>, matches: M) -> Option<&DocName>
     where
         M: Fn(&DocName) -> bool,
@@ -55,21 +55,22 @@
             .map(|(_order, name)| name)
     }
 
-    /// Returns how many rules let a team pay.
+    /// Returns the number of rules that refer to a team.
     pub(crate) fn team_uses(&self, team: &TeamId) -> usize {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Returns how many rules send work to a pool.
+    /// Returns the number of rules that refer to a pool.
     pub(crate) fn pool_uses(&self, pool: &PoolId) -> usize {
         self.pools.get(pool).copied().unwrap_or_default()
     }
 
-    /// Adds a document that was checked by itself.
+    /// Adds a document that has already passed its own validation.
     ///
     /// # Errors
     ///
-    /// When a key or a service name stands in another document, or twice in this one; nothing is added then.
+    /// If a key or a service name is used by another document, or a key occurs twice in this one. Nothing is added
+    /// then.
     pub(crate) fn add(&mut self, name: &DocName, body: &Body) -> Result<(), Rejected> {
         match body {
             Body::Account(account) => self.add_keys(name, &account.keys),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes a document out.
+    /// Removes a document.
     pub(crate) fn remove(&mut self, name: &DocName, body: &Body) {
         match body {
             Body::Account(account) => {
--- a/src/config/lookup.rs
+++ b/src/config/lookup.rs
@@ -1,4 +1,4 @@
-//! What a router asks of the configuration.
+//! Queries of the configuration.
 
 use crate::config::document::AccountSpec;
 use crate::config::document::Body;
@@ -19,7 +19,7 @@
 use crate::labels::Labels;
 
 impl Config {
-    /// Returns the account that a bearer key is good for.
+    /// Returns the account that a bearer key belongs to.
     pub fn account_by_key(&self, bearer: &str) -> Option<(AccountId, &AccountSpec)> {
         let name = self.index.account(&KeyHash::of(bearer))?;
         match self.body(Kind::Account, name)? {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns who pays for a request with these labels and where it goes.
+    /// Returns the route of a request with these labels: the paying team, the pool and the priority.
     pub fn route(&self, labels: &Labels) -> Option<Route> {
         let account = labels.get(index::ACCOUNT);
         let matches = |name: &DocName| self.rule(name).is_some_and(|r| r.when.matches(labels));
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns all documents, in no order.
+    /// Returns all documents, in unspecified order.
     pub fn documents(&self) -> impl Iterator<Item = &Document> {
         self.documents.values()
     }
@@ -85,7 +85,7 @@
         self.documents.get(&(kind, name.clone()))
     }
 
-    /// Returns a document's version: 0 where there is none.
+    /// Returns a document's version, or 0 if it does not exist.
     pub fn version_of(&self, kind: Kind, name: &DocName) -> Version {
         self.document(kind, name)
             .map_or(Version(0), |document| document.version)
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,6 +1,7 @@
-//! The configuration that operators publish: labelled documents on a stream of the log service.
+//! The configuration that operators publish: labelled documents in a stream of the log service.
 //!
-//! As with the ledger, the stream's order is the agreement, and the pure [`Config`] is what it means.
+//! As with the ledger, routers agree by applying the records in stream order. [`Config`] is the resulting state; it
+//! does no I/O.
 
 mod check;
 mod checkpoint;
--- a/src/config/put.rs
+++ b/src/config/put.rs
@@ -1,4 +1,4 @@
-//! What operators publish.
+//! Sets of changes that operators publish.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,21 +12,21 @@
 use crate::ids::DocName;
 use crate::ids::Version;
 
-/// The format that this version reads and writes.
+/// The format version that this program reads and writes.
 pub(crate) const FORMAT: u32 = 1;
 
-/// A record that operators publish, written as JSON: changes that are accepted together or not at all.
+/// A record published by operators, in JSON: changes that are accepted together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Put {
-    /// The format, 1.
+    /// The format version, 1.
     pub format: u32,
-    /// Who publishes it, for people.
+    /// Name of the publisher, informational only.
     pub by: String,
-    /// A random mark by which a publisher finds its own record when the answer to its append was lost.
+    /// A random identifier by which a publisher recognizes its own record if the response to its append was lost.
     #[serde(default)]
     pub id: String,
-    /// The changes; each document at most once.
+    /// The changes, at most one per document.
     pub changes: Vec<Change>,
 }
 
@@ -38,7 +38,7 @@
     pub kind: Kind,
     /// The document's name.
     pub name: DocName,
-    /// The version that the change is based on: 0, or nothing, where there is no such document yet.
+    /// The version that the change is based on; 0 or omitted for a new document.
     #[serde(default)]
     pub base: Version,
     /// The new content; `null` deletes the document.
@@ -46,7 +46,7 @@
 }
 
 impl Put {
-    /// Makes a record of changes.
+    /// Creates a record from changes.
     pub fn new(by: &str, changes: Vec<Change>) -> Self {
         Self {
             format: FORMAT,
@@ -56,11 +56,11 @@
         }
     }
 
-    /// Reads a record.
+    /// Parses a record.
     ///
     /// # Errors
     ///
-    /// [`Rejected::Unreadable`] when the bytes are no put of this format.
+    /// [`Rejected::Unreadable`] if the bytes are not a set of changes in this format.
     pub fn parse(bytes: &[u8]) -> Result<Self, Rejected> {
         match Record::parse(bytes)? {
             Record::Put(put) => Ok(put),
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Writes a record.
+    /// Serializes the record as JSON.
     ///
     /// # Panics
     ///
-    /// Never: each part of it can be written as JSON.
+    /// Never: every field can be represented as JSON.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a put is JSON")
+        serde_json::to_vec(self).expect("change set serializes to JSON")
     }
 
-    /// Checks each change by itself, as far as that tells without the configuration that it will meet.
+    /// Validates the changes as far as possible without the configuration that they will be applied to.
     ///
     /// # Errors
     ///
-    /// With the first field that is wrong.
+    /// Reports the first invalid field.
     pub fn check(&self) -> Result<(), Rejected> {
         check::check_count(&self.changes)?;
         self.changes.iter().try_for_each(check::check_change)
--- a/src/config/record.rs
+++ b/src/config/record.rs
@@ -1,4 +1,4 @@
-//! What stands in the configuration's stream.
+//! Records of the configuration stream.
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -10,15 +10,15 @@
 use crate::field;
 use crate::field::FieldError;
 
-/// What stands in the configuration's stream.
+/// A record of the configuration stream.
 pub(crate) enum Record {
-    /// Changes.
+    /// Changes published by an operator.
     Put(Put),
-    /// All that was in force.
+    /// The whole configuration as of an earlier offset.
     Checkpoint(Checkpoint),
 }
 
-/// What tells records apart, and is the same in all formats.
+/// The fields that distinguish records, common to all formats.
 #[derive(Deserialize)]
 struct Envelope {
     format: u32,
@@ -26,11 +26,11 @@
 }
 
 impl Record {
-    /// Reads a record.
+    /// Parses a record.
     ///
     /// # Errors
     ///
-    /// [`Rejected::Unreadable`] when the bytes are no record of this format.
+    /// [`Rejected::Unreadable`] if the bytes are not a record of this format.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Self, Rejected> {
         let envelope: Envelope = field::read_json(bytes).map_err(Rejected::Unreadable)?;
         let format = envelope.format;
--- a/src/config/rejected.rs
+++ b/src/config/rejected.rs
@@ -1,4 +1,4 @@
-//! Why a record of the configuration's stream changed nothing.
+//! Errors of applying records of the configuration stream.
 
 use thiserror::Error;
 
@@ -8,10 +8,10 @@
 use crate::ids::Offset;
 use crate::ids::Version;
 
-/// Why a record changed nothing.
+/// The reason why a record was not applied.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Rejected {
-    /// Another change of the document came first.
+    /// The document was changed by an earlier record.
     #[error("{kind}/{name}: based on version {base}, but version {current} is in force")]
     Conflict {
         /// The document's kind.
@@ -23,18 +23,18 @@
         /// The version in force.
         current: Version,
     },
-    /// The configuration that would result is not sound.
+    /// The resulting configuration would be invalid.
     #[error(transparent)]
     Invalid(FieldError),
-    /// The record is damaged or of another format.
+    /// The record is corrupt or has an unsupported format.
     #[error("not readable: {0}")]
     Unreadable(FieldError),
-    /// Records before this one are missing, so that nothing can be said of it; a snapshot is needed first.
+    /// Earlier records are missing, so the record cannot be validated; a snapshot is needed first.
     #[error("record {found} came before record {next} was read")]
     Gap {
-        /// The record that is wanted.
+        /// The offset of the expected record.
         next: Offset,
-        /// The record that came.
+        /// The offset of the record received.
         found: Offset,
     },
 }
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -1,18 +1,18 @@
-//! Where a request goes.
+//! The result of routing a request.
 
 use crate::ids::DocName;
 use crate::ids::PoolId;
 use crate::ids::TeamId;
 
-/// What the first rule that matches says of a request.
+/// The routing decision of the first matching rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The rule.
+    /// The matching rule.
     pub rule: DocName,
-    /// Who pays.
+    /// The team that pays.
     pub team: TeamId,
-    /// Where it goes.
+    /// The pool that serves the request.
     pub pool: PoolId,
-    /// 0 (first) to 9 (last) in a queue.
+    /// Queue priority, from 0 (highest) to 9 (lowest).
     pub priority: u8,
 }
--- a/src/config/snapshot.rs
+++ b/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole configuration as a message.
+//! Snapshots of the whole configuration, exchanged between routers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,7 +9,7 @@
 use crate::ids::Offset;
 use crate::ids::Version;
 
-/// One document, as it is in force.
+/// A document of the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -23,14 +23,14 @@
     pub body: Body,
 }
 
-/// The whole configuration as of an offset, for a router that cannot read the log, or no longer as far back.
+/// The whole configuration as of an offset, for a router that cannot read the log or needs records that have expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// The offset of the first record that is not in it.
+    /// The offset of the first record that is not included.
     pub next: Offset,
     /// The version of the last accepted record.
     pub version: Version,
-    /// The documents, by kind and name.
+    /// The documents, sorted by kind and name.
     pub documents: Vec<Document>,
 }
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The fold: what each record of the configuration's stream does.
+//! The configuration as a state machine: applies the records of the configuration stream.
 
 use indexmap::IndexMap;
 
@@ -32,36 +32,36 @@
 }
 
 impl Config {
-    /// Returns the offset of the next record that it wants.
+    /// Returns the offset of the next record to apply.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Returns the version of the last accepted record: its offset and one, or 0 where there was none.
+    /// Returns the version of the last accepted record: its offset plus one, or 0 if there is none.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns how many records it could not read.
+    /// Returns the number of unreadable records.
     pub fn skipped(&self) -> u64 {
         self.skipped
     }
 
-    /// Returns how many records it read and did not accept.
+    /// Returns the number of readable records that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Returns the offset of the last checkpoint that it met. Before the log lets that one go, another is due.
+    /// Returns the offset of the last checkpoint applied. A new one must be published before the log expires it.
     pub fn checkpointed(&self) -> Option<Offset> {
         self.checkpoint
     }
 
-    /// Folds one record; one that it has folded before changes nothing.
+    /// Applies one record. A record that was already applied is ignored.
     ///
     /// # Errors
     ///
-    /// When the record is not accepted; the configuration in force stays as it is, whole.
+    /// If the record is not accepted. The configuration in force is unchanged then.
     pub fn apply(&mut self, offset: Offset, bytes: &[u8]) -> Result<(), Rejected> {
         if offset < self.next {
             return Ok(());
@@ -86,15 +86,15 @@
         outcome
     }
 
-    /// Takes over a record that is a checkpoint and ahead, and returns whether it was.
+    /// Adopts the record if it is a checkpoint newer than the current state, and returns whether it did.
     ///
-    /// This is for a router that finds the beginning of the stream gone, and no other router to ask: it hands on what
-    /// the log still keeps, from the first record on, until a checkpoint is taken, and then reads on from
+    /// Used by a router that finds the start of the stream expired and has no other router to ask. It passes the
+    /// remaining records, from the first one on, until a checkpoint is adopted, and then continues from
     /// [`Config::next`].
     ///
     /// # Errors
     ///
-    /// When the checkpoint is not sound.
+    /// If the checkpoint is invalid.
     pub fn resume(&mut self, offset: Offset, bytes: &[u8]) -> Result<bool, Rejected> {
         match Record::parse(bytes) {
             Ok(Record::Checkpoint(checkpoint)) => {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Returns the whole configuration as a message; the same records give the same one.
+    /// Returns a snapshot of the configuration. It is deterministic: the same records give the same snapshot.
     pub fn snapshot(&self) -> Snapshot {
         let mut documents: Vec<_> = self.documents.values().cloned().collect();
         documents.sort_by(|a, b| (a.kind, &a.name).cmp(&(b.kind, &b.name)));
@@ -120,14 +120,15 @@
         }
     }
 
-    /// Takes over a configuration that another router folded, where it is ahead, and returns whether it was.
+    /// Adopts another router's snapshot if it is newer than the current state, and returns whether it did.
     ///
-    /// A message that was held up on the way brings an old configuration. Taking it would revert one that is in force;
-    /// so nothing counts that is not ahead.
+    /// A delayed message may carry an old configuration, and adopting it would revert the one in force. Snapshots that
+    /// are not newer are therefore ignored.
     ///
     /// # Errors
     ///
-    /// When it is not sound, as when a later version of the program wrote it; the one in force stays.
+    /// If the snapshot is invalid, for example written by a later program version. The configuration in force is
+    /// unchanged then.
     pub fn adopt(&mut self, snapshot: Snapshot) -> Result<bool, Rejected> {
         if snapshot.next <= self.next || snapshot.version < self.version {
             return Ok(false);
@@ -136,7 +137,7 @@
         Ok(true)
     }
 
-    /// Builds the state that a snapshot tells of, beside the one in force.
+    /// Builds a state from a snapshot without modifying the one in force.
     fn ahead(&self, snapshot: Snapshot) -> Result<Self, Rejected> {
         check_version("version", snapshot.version, snapshot.next.0)?;
         let mut ahead = Self {
@@ -174,10 +175,11 @@
         outcome
     }
 
-    /// Checks a checkpoint, which changes nothing for those who have read all before it.
+    /// Validates a checkpoint. It does not change the documents of a router that has applied all earlier records.
     ///
-    /// One that differs from what is in force comes from a router whose fold is not the same. Whoever starts from it
-    /// would route otherwise than the others do; to count it as rejected shows that in each router's dump.
+    /// A checkpoint that differs from the configuration in force comes from a router whose state has diverged, and a
+    /// router that started from it would route differently from the others. Counting it as rejected makes the
+    /// divergence visible in each router's state dump.
     fn checkpoint(&mut self, offset: Offset, checkpoint: &Snapshot) -> Result<(), Rejected> {
         check_version("checkpoint.next", Version(checkpoint.next.0), offset.0)?;
         if checkpoint.version == self.version && !self.equals(&checkpoint.documents) {
@@ -196,8 +198,10 @@
         documents.len() == self.documents.len() && documents.iter().all(same)
     }
 
-    /// Of two operators who change the same document, the one whose record lies first in the log wins; the other's
-    /// names a version that is no longer in force. Without this, the second would undo the first unawares.
+    /// Checks that each change is based on the version in force.
+    ///
+    /// If two operators change the same document, the record that is first in the log wins; the other one refers to a
+    /// version that is no longer in force. Without this check, the second would silently overwrite the first.
     fn check_bases(&self, changes: &[Change]) -> Result<(), Rejected> {
         for change in changes {
             let current = self.version_of(change.kind, &change.name);
@@ -213,7 +217,7 @@
         Ok(())
     }
 
-    /// Replaces the documents, and returns those that stood there before.
+    /// Replaces the changed documents, removes the old ones from the index, and returns the old ones.
     fn replace(&mut self, version: Version, changes: &[Change]) -> Vec<(DocKey, Option<Document>)> {
         let mut before = Vec::with_capacity(changes.len());
         for change in changes {
@@ -238,7 +242,7 @@
         before
     }
 
-    /// Brings the index up to date, and returns how many changes it has taken.
+    /// Adds the changed documents to the index, and returns the number of changes processed before an error.
     fn enter(&mut self, changes: &[Change]) -> (usize, Result<(), Rejected>) {
         for (at, change) in changes.iter().enumerate() {
             let Some(body) = &change.body else {
@@ -257,7 +261,7 @@
             .try_for_each(|change| self.check_reference(change))
     }
 
-    /// Checks that what the changed document refers to exists, and that nothing refers to a document that went.
+    /// Checks that what the changed document refers to exists, and that no rule refers to a deleted document.
     fn check_reference(&self, change: &Change) -> Result<(), Rejected> {
         let name = &change.name;
         match (&change.body, change.kind) {
@@ -286,10 +290,10 @@
         Ok(())
     }
 
-    /// Undoes a replacement of which the index had taken the changes in `entered`.
+    /// Rolls back a replacement whose changes in `entered` had been added to the index.
     ///
-    /// It undoes just these: to build the index anew would hold up every router at once, for as long as there are
-    /// documents, whenever an operator makes a mistake.
+    /// It reverts only these changes. Rebuilding the index takes time proportional to the number of documents and would
+    /// block all routers at once whenever an operator publishes an invalid change.
     fn restore(&mut self, entered: &[Change], before: Vec<(DocKey, Option<Document>)>) {
         for change in entered {
             if let Some(body) = &change.body {
@@ -301,14 +305,15 @@
                 self.documents.swap_remove(&key);
                 continue;
             };
-            // It was in force before, so there is nothing to tell.
+            // The document was in force before, so adding it cannot fail.
             let _ = self.index.add(&key.1, &old.body);
             self.documents.insert(key, old);
         }
     }
 }
 
-/// Versions grow with the log: none is above the offset after the last record that was folded.
+/// Checks a version against an upper bound: versions derive from offsets, so none exceeds the offset after the last
+/// applied record.
 fn check_version(path: &str, version: Version, max: u64) -> Result<(), Rejected> {
     if version.0 <= max {
         return Ok(());
--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -1,5 +1,5 @@
-//! A configuration that a platform hands over whole: routes by host and path, pools, and client accounts that pay for
-//! themselves.
+//! The route table: a configuration that a platform supplies as a whole, with routes by host and path, pools, and
+//! client accounts with budgets of their own.
 
 use std::time::Duration;
 
@@ -18,65 +18,65 @@
 use crate::labels::Selector;
 use crate::tokens::Tokens;
 
-/// How many requests an endpoint is thought to run at once where neither the table nor its entry says it: few, so that an
-/// unknown endpoint is not flooded.
+/// Assumed number of concurrent requests per endpoint if neither the table nor the endpoint's entry specifies it. Low,
+/// so that an unknown endpoint is not overloaded.
 const DEFAULT_SLOTS: u32 = 4;
 
-/// What may be done again with a request of a route.
+/// Whether and how requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Repeat {
-    /// Nothing: it may run once at most.
+    /// A request runs at most once.
     Never,
-    /// It may run more than once, from the beginning.
+    /// A request may be run again from the beginning.
     Whole,
-    /// Another endpoint may go on where the answer broke off.
+    /// Another endpoint may resume an interrupted answer where it ended.
     Resume,
 }
 
-/// Where requests of one host and path go, and on what terms.
+/// A route: how requests with a given host and path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PathRoute {
     /// Its name.
     pub(crate) name: DocName,
-    /// The value of the request's `Host`.
+    /// The value of the request's `Host` header.
     pub(crate) host: String,
-    /// How the path begins; it ends with a slash.
+    /// The path prefix, ending with a slash.
     pub(crate) prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub(crate) repeat: Repeat,
-    /// How long a request may be kept waiting for its final answer.
+    /// Maximum time until the final answer to a request.
     pub(crate) timeout: Duration,
-    /// Within which time an answer, or a stream's first event, is on time.
+    /// Latency objective for an answer, or for the first event of a stream.
     pub(crate) objective: Duration,
-    /// 0 (first) to 9 (last).
+    /// Priority, from 0 (highest) to 9 (lowest).
     pub(crate) priority: u8,
-    /// The pools that its requests are spread over, with their weights.
+    /// The pools that requests are distributed over, with their weights.
     pub(crate) split: Vec<(PoolId, u32)>,
-    /// How many endpoints one request may run on.
+    /// Maximum number of endpoints that one request may run on.
     pub(crate) attempts: u32,
-    /// Whether it takes requests without a bearer key.
+    /// Whether requests without a bearer key are accepted.
     pub(crate) public: bool,
 }
 
 /// A pool of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TablePool {
-    /// Its name, which its endpoints carry as their label `pool`.
+    /// The pool's name, which is also the value of its endpoints' label `pool`.
     pub(crate) name: PoolId,
-    /// How many connections one endpoint takes from all routers together.
+    /// Maximum number of connections to one endpoint, from all routers together.
     pub(crate) connections: u32,
-    /// How many requests one endpoint runs at once, where the configuration says it; else its own entry does.
+    /// Concurrent requests per endpoint; if not configured, the endpoint's entry specifies it.
     pub(crate) slots: Option<u32>,
-    /// The most tokens that one event of a stream holds.
+    /// Maximum number of tokens in one event of a stream.
     pub(crate) stride: u64,
-    /// How long an endpoint is cold that has just started; nothing where it is warm at once.
+    /// Warm-up time of an endpoint after its start; zero if it needs none.
     pub(crate) warmup: Duration,
-    /// How many requests a second a cold endpoint bears, from all routers together.
+    /// Maximum requests per second to an endpoint during warm-up, from all routers together.
     pub(crate) cold_rate: u32,
 }
 
 impl TablePool {
-    /// Returns it as a pool of plain endpoints, picked by their label.
+    /// Returns the specification of a service pool that selects its endpoints by the label `pool`.
     pub(crate) fn spec(&self) -> PoolSpec {
         let label = [("pool".to_owned(), vec![self.name.to_string()])];
         PoolSpec {
@@ -92,40 +92,40 @@
     }
 }
 
-/// A client account that pays from a budget of its own.
+/// A client account with a budget of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Payer {
-    /// Its name; its team has the same.
+    /// The account's name; its team has the same name.
     pub(crate) account: AccountId,
-    /// Whose budget it draws on.
+    /// The team whose budget is charged.
     pub(crate) team: TeamId,
-    /// The hashes of its bearer keys.
+    /// The hashes of the account's bearer keys.
     pub(crate) keys: Vec<KeyHash>,
-    /// 0 (first) to 9 (last); goes before a route's.
+    /// Priority, from 0 (highest) to 9 (lowest); overrides the route's priority.
     pub(crate) priority: u8,
-    /// All that it may use, ever; nothing where it is not limited.
+    /// Total number of tokens that the account may ever use; `None` if unlimited.
     pub(crate) prepaid: Option<Tokens>,
 }
 
-/// What a router takes from connections.
+/// Limits on client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Intake {
-    /// The largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub(crate) head_bytes: usize,
-    /// The largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub(crate) body_bytes: usize,
-    /// How long a head may take.
+    /// Maximum time to receive a request head.
     pub(crate) head_time: Duration,
-    /// How long a connection may be idle.
+    /// Maximum idle time of a connection.
     pub(crate) idle_time: Duration,
 }
 
-/// The whole configuration.
+/// The whole route table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RouteTable {
-    /// Its version.
+    /// The version of the table.
     pub(crate) version: TableVersion,
-    /// Its limits on connections.
+    /// The limits on client connections.
     pub(crate) intake: Intake,
     hosts: IndexMap<String, Vec<PathRoute>>,
     pools: IndexMap<PoolId, TablePool>,
@@ -134,7 +134,7 @@
 }
 
 impl RouteTable {
-    /// Puts a table together.
+    /// Builds a table and its lookup indexes.
     pub(crate) fn new(
         version: TableVersion,
         intake: Intake,
@@ -147,7 +147,7 @@
             let host = route.host.to_ascii_lowercase();
             hosts.entry(host).or_default().push(route);
         }
-        // The longest prefix first, so that the first match is the right one.
+        // Longest prefix first, so that the first match is the most specific.
         for routes in hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
@@ -163,13 +163,13 @@
         }
     }
 
-    /// Returns the route of a request: of its host's, the one with the longest prefix that begins the path.
+    /// Returns the route with the longest matching path prefix among the routes of the request's host.
     pub(crate) fn route(&self, host: &str, path: &str) -> Option<&PathRoute> {
         let routes = self.hosts.get(&host.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Returns whose bearer key it is.
+    /// Returns the client account that a bearer key belongs to.
     pub(crate) fn payer(&self, bearer: &str) -> Option<&Payer> {
         self.payers.get(*self.keys.get(&KeyHash::of(bearer))?)
     }
@@ -189,7 +189,7 @@
         self.pools.values()
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub(crate) fn count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -47,7 +47,7 @@
     json!({"kind": kind, "name": name, "base": base, "body": null})
 }
 
-/// A configuration with two accounts, two teams, a pool and three rules, made by one record.
+/// Returns a configuration with two accounts, two teams, a pool and three rules, published in one record.
 fn example() -> Config {
     let mut config = Config::default();
     let record = put(json!([
@@ -60,7 +60,9 @@
         rule("a-late", 5, json!({"purpose": ["audit"]}), "audit"),
         rule("yard-only", 1, json!({"account": ["yard"]}), "audit"),
     ]));
-    config.apply(Offset(0), &record).expect("it is sound");
+    config
+        .apply(Offset(0), &record)
+        .expect("record is accepted");
     config
 }
 
@@ -72,12 +74,12 @@
     labels
 }
 
-/// Applies a record that must be refused, and returns why. The configuration must stay as it was.
+/// Applies a record that must be rejected and returns the reason. Asserts that the configuration is unchanged.
 fn refused(config: &mut Config, record: &[u8]) -> Rejected {
     let before = config.clone();
     let why = config
         .apply(config.next(), record)
-        .expect_err("it is refused");
+        .expect_err("record is rejected");
     assert_eq!(config.snapshot().documents, before.snapshot().documents);
     assert_eq!(config.index, before.index);
     assert_eq!(config.version(), before.version());
@@ -94,10 +96,12 @@
 #[test]
 fn finds_accounts_by_bearer_key_alone() {
     let config = example();
-    let (name, _) = config.account_by_key("secret-2").expect("it is known");
+    let (name, _) = config
+        .account_by_key("secret-2")
+        .expect("bearer key is known");
     assert_eq!(name.as_str(), "yard");
     assert!(config.account_by_key("secret-3").is_none());
-    // Whoever reads the published hash has not thereby got the key.
+    // The published hash must not be accepted as a key.
     assert!(config.account_by_key(&hex("secret-2")).is_none());
 }
 
@@ -118,9 +122,11 @@
         deletion("rule", "yard-only", 1),
         account("yard", 1, "secret-9")
     ]));
-    config.apply(Offset(1), &change).expect("it is sound");
+    config
+        .apply(Offset(1), &change)
+        .expect("record is accepted");
     let route = config.route(&labels(&[("account", "yard")]));
-    assert_eq!(route.expect("one matches").rule.as_str(), "z-all");
+    assert_eq!(route.expect("a rule matches").rule.as_str(), "z-all");
     assert!(config.account_by_key("secret-2").is_none());
     assert!(config.account_by_key("secret-9").is_some());
 }
@@ -132,13 +138,13 @@
         deletion("rule", "yard-only", 1),
         deletion("rule", "a-late", 1)
     ]));
-    config.apply(Offset(1), &rules).expect("it is sound");
+    config.apply(Offset(1), &rules).expect("record is accepted");
     let team = put(json!([deletion("team", "audit", 1)]));
     assert_eq!(config.apply(Offset(2), &team), Ok(()));
 }
 
-/// An operator publishes a configuration with a mistake. Nothing of it comes into force, not even the parts that are
-/// right, and the operator is told the field.
+/// A record with one invalid change must be rejected as a whole, including its valid changes, and the error must name
+/// the invalid field.
 #[test]
 fn refuses_an_unsound_configuration_whole() {
     let mut bad_limits = account("x", 0, "k");
@@ -184,8 +190,8 @@
     assert_eq!((config.skipped(), config.rejected()), (3, 14));
 }
 
-/// A record replaces, deletes and adds documents, and its last change is a mistake. All lookups must be as they were,
-/// and cost no more than what the record changed.
+/// The last change of a record that replaces, deletes and adds documents is invalid. All lookups must be restored, at a
+/// cost limited to what the record changed.
 #[test]
 fn undoes_what_came_before_a_mistake() {
     let mut twice = account("yard", 1, "new-2");
@@ -219,8 +225,8 @@
     assert!(!why.to_string().contains("the-raw-key"), "{why}");
 }
 
-/// A later version of the program publishes a format that this one does not know. This one counts the record and goes
-/// on with the configuration that it has.
+/// A later program version publishes an unknown format. The record must be counted and skipped, and the configuration
+/// in force kept.
 #[test]
 fn skips_a_later_format() {
     let mut config = example();
@@ -230,13 +236,13 @@
     assert_eq!((config.skipped(), config.next()), (1, Offset(2)));
 }
 
-/// A router was cut off while the log let records go. What comes next is built on changes that it has not seen, so that
-/// it waits for a snapshot in place of guessing.
+/// Records expired from the log while a router was disconnected. The next record builds on changes that it has not
+/// seen, so it must wait for a snapshot.
 #[test]
 fn waits_for_a_snapshot_after_a_gap() {
     let mut ahead = example();
     let record = put(json!([team("x", 0)]));
-    ahead.apply(Offset(1), &record).expect("it is sound");
+    ahead.apply(Offset(1), &record).expect("record is accepted");
     let mut behind = Config::default();
     let gap = Rejected::Gap {
         next: Offset(0),
@@ -248,8 +254,8 @@
     assert_eq!(behind.index, ahead.index);
 }
 
-/// All routers were replaced after the log had let the first records go. The new ones start from a checkpoint in place
-/// of refusing every caller for want of a configuration.
+/// All routers were replaced after the first records had expired from the log. The new ones must start from a
+/// checkpoint; without a configuration they would refuse every caller.
 #[test]
 fn resumes_from_a_checkpoint() {
     let mut config = example();
@@ -260,7 +266,9 @@
         put(json!([team("after", 0)])),
     ];
     for record in &records {
-        config.apply(config.next(), record).expect("it is sound");
+        config
+            .apply(config.next(), record)
+            .expect("record is accepted");
     }
     assert_eq!(config.checkpointed(), Some(Offset(2)));
 
@@ -269,7 +277,9 @@
     assert_eq!(fresh.resume(Offset(2), &records[1]), Ok(true));
     assert_eq!(fresh.next(), Offset(1));
     for record in &records {
-        fresh.apply(fresh.next(), record).expect("it is sound");
+        fresh
+            .apply(fresh.next(), record)
+            .expect("record is accepted");
     }
     assert_eq!(fresh.snapshot(), config.snapshot());
 }
@@ -289,8 +299,8 @@
     }
 }
 
-/// A peer sends a snapshot that this version cannot hold with, such as a rule without its team. The configuration in
-/// force stays.
+/// A peer sends a snapshot that is invalid in this version, such as a rule whose team is missing. The configuration in
+/// force must be kept.
 #[test]
 fn refuses_an_unsound_snapshot() {
     let mut config = example();
@@ -304,16 +314,17 @@
 #[test]
 fn carries_a_snapshot_through_the_codec_of_peers() {
     let snapshot = example().snapshot();
-    let bytes = postcard::to_stdvec(&snapshot).expect("it can be encoded");
+    let bytes = postcard::to_stdvec(&snapshot).expect("snapshot can be encoded");
     assert_eq!(postcard::from_bytes(&bytes), Ok(snapshot.clone()));
-    let text = serde_json::to_string(&snapshot).expect("it can be encoded");
+    let text = serde_json::to_string(&snapshot).expect("snapshot can be encoded");
     assert_eq!(
         serde_json::from_str::<super::Snapshot>(&text).ok(),
         Some(snapshot)
     );
 }
 
-/// What is published: a change of one of three teams, based on what an operator saw, an earlier state, or noise.
+/// A published record: a change of one of three teams with a current or stale base, a checkpoint of an earlier state,
+/// or random bytes.
 #[derive(Clone, Debug)]
 enum Publication {
     Checkpoint(usize),
@@ -335,7 +346,7 @@
     }
 }
 
-/// Publishes all in turn and returns the records with each state, beginning with the empty one.
+/// Applies the publications in order, and returns the records and every state, starting with the empty one.
 fn history(publications: &[Publication]) -> (Vec<Vec<u8>>, Vec<Config>) {
     let mut config = Config::default();
     let mut records = Vec::new();
@@ -349,7 +360,8 @@
             }
             Publication::Team { name, stale, gone } => {
                 let name = format!("team-{name}");
-                let current = config.version_of(Kind::Team, &name.parse().expect("it is a name"));
+                let current =
+                    config.version_of(Kind::Team, &name.parse().expect("valid document name"));
                 let base = current.0 + u64::from(*stale);
                 match gone {
                     true => put(json!([deletion("team", &name, base)])),
@@ -364,10 +376,10 @@
     (records, states)
 }
 
-/// Where the properties' generator starts.
+/// Seed of the property tests' generator.
 const SEED: u64 = 20_261_202;
 
-/// The largest size of a generated value.
+/// Maximum size of a generated value.
 const SIZE: usize = 60;
 
 fn check<T>(property: T)
@@ -382,8 +394,8 @@
         .quickcheck(property);
 }
 
-/// Two operators read the same version and change the same document. Whichever record lies first in the log, that
-/// one wins and the other operator is told of the conflict.
+/// Two operators read the same version and change the same document. The record that is first in the log must win, and
+/// the other one be rejected with a conflict.
 #[test]
 fn lets_one_of_two_racers_win() {
     check(lets_one_of_two_racers_win_holds as fn(Vec<Publication>, bool) -> bool);
@@ -391,8 +403,8 @@
 
 fn lets_one_of_two_racers_win_holds(before: Vec<Publication>, second_first: bool) -> bool {
     let (_, states) = history(&before);
-    let start = states.last().expect("there is one");
-    let base = start.version_of(Kind::Team, &"team-0".parse().expect("it is a name"));
+    let start = states.last().expect("history has a state");
+    let base = start.version_of(Kind::Team, &"team-0".parse().expect("valid document name"));
     let mut records = [
         put(json!([team("team-0", base.0), team("mine", 0)])),
         put(json!([team("team-0", base.0)])),
@@ -407,8 +419,8 @@
     outcomes[0].is_ok() && lost && won
 }
 
-/// Relays bring records and snapshots again, late and in any order. A router's version never falls, and at each
-/// moment its configuration is one that the log made.
+/// Relays deliver records and snapshots repeatedly, late and in any order. A router's version must never decrease, and
+/// its configuration must always be one that results from the log.
 #[test]
 fn never_reverts() {
     check(never_reverts_holds as fn(Vec<Publication>, Vec<(usize, u8)>) -> bool);
@@ -433,7 +445,7 @@
     })
 }
 
-/// Two routers that had the same history by different ways send the same bytes.
+/// Two routers with the same history, one of them started from a snapshot, must produce identical snapshot bytes.
 #[test]
 fn gives_the_same_bytes() {
     check(gives_the_same_bytes_holds as fn(Vec<Publication>, usize) -> bool);
@@ -452,7 +464,7 @@
         .is_some_and(|first| bytes(first) == bytes(&late))
 }
 
-/// A document's version is always that of a record that was accepted.
+/// A document's version must always be the version of an accepted record.
 #[test]
 fn versions_come_from_accepted_records() {
     check(versions_come_from_accepted_records_holds as fn(Vec<Publication>) -> bool);
