--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -9,7 +9,7 @@
 use crate::cli::failure::Failure;
 use crate::cli::file;
 use crate::cli::output::Output;
-use crate::config::Put;
+use crate::config::ChangeSet;
 use crate::settings::Settings;
 
 /// What a file holds.
@@ -41,7 +41,7 @@
     let text = file::read(path)?;
     let refused = |e: String| Failure::Refused(format!("{}: {e}", path.display()));
     let holds = if holds_changes(&text) {
-        let put = Put::parse(text.as_bytes()).map_err(|e| refused(e.to_string()))?;
+        let put = ChangeSet::parse(text.as_bytes()).map_err(|e| refused(e.to_string()))?;
         put.check().map_err(|e| refused(e.to_string()))?;
         Held::Changes
     } else {
--- a/src/cli/configuration.rs
+++ b/src/cli/configuration.rs
@@ -15,9 +15,9 @@
 use crate::cli::router::Router;
 use crate::cli::table::Table;
 use crate::config::Change;
+use crate::config::ChangeSet;
 use crate::config::Config;
 use crate::config::Document;
-use crate::config::Put;
 use crate::config::Rejected;
 use crate::http_client::HttpClient;
 use crate::ids::Offset;
@@ -170,12 +170,12 @@
 }
 
 /// Makes changes that change nothing yet, for an operator to edit.
-fn changes(documents: Vec<Document>) -> Put {
+fn changes(documents: Vec<Document>) -> ChangeSet {
     let change = |document: Document| Change {
         kind: document.kind,
         name: document.name,
         base: document.version,
         body: Some(document.body),
     };
-    Put::new("", documents.into_iter().map(change).collect())
+    ChangeSet::new("", documents.into_iter().map(change).collect())
 }
--- a/src/cli/file.rs
+++ b/src/cli/file.rs
@@ -10,7 +10,7 @@
 use anyhow::Context;
 
 use crate::cli::failure::Failure;
-use crate::config::Put;
+use crate::config::ChangeSet;
 
 /// Reads a file as text.
 ///
@@ -26,7 +26,8 @@
 /// # Errors
 ///
 /// When it cannot be read, or holds something else.
-pub(crate) fn read_put(path: &Path) -> Result<Put, Failure> {
+pub(crate) fn read_put(path: &Path) -> Result<ChangeSet, Failure> {
     let text = read(path)?;
-    Put::parse(text.as_bytes()).map_err(|e| Failure::Refused(format!("{}: {e}", path.display())))
+    ChangeSet::parse(text.as_bytes())
+        .map_err(|e| Failure::Refused(format!("{}: {e}", path.display())))
 }
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -19,9 +19,9 @@
 use crate::cli::failure::Failure;
 use crate::cli::file;
 use crate::cli::output::Output;
+use crate::config::ChangeSet;
 use crate::config::Config;
 use crate::config::Document;
-use crate::config::Put;
 use crate::config::Rejected;
 use crate::ids::Version;
 use crate::log_client::AppendError;
@@ -79,7 +79,7 @@
 
 /// Leaves out what is in force as it is. Published again, it would get a new version, and another operator who changes
 /// it at the same time would be told of a conflict over nothing.
-fn leave_out_unchanged(put: &mut Put, config: &Config) {
+fn leave_out_unchanged(put: &mut ChangeSet, config: &Config) {
     put.changes.retain(|change| {
         let current = config.document(change.kind, &change.name);
         let same = |d: &Document| d.version == change.base && change.body.as_ref() == Some(&d.body);
@@ -109,7 +109,7 @@
                 continue;
             }
         };
-        let mine = |bytes: &[u8]| Put::parse(bytes).is_ok_and(|put| put.id == id);
+        let mine = |bytes: &[u8]| ChangeSet::parse(bytes).is_ok_and(|put| put.id == id);
         if let Some((record, outcome)) = folded.into_iter().find(|(r, _)| mine(&r.data)) {
             outcome.map_err(rejected)?;
             return Ok(Version(record.offset.0 + 1));
--- a/src/config/put.rs
+++ b/src/config/change_set.rs
@@ -18,7 +18,7 @@
 /// A record published by operators, in JSON: changes that are accepted together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Put {
+pub struct ChangeSet {
     /// The format version, 1.
     pub format: u32,
     /// Name of the publisher, informational only.
@@ -45,7 +45,7 @@
     pub body: Option<Body>,
 }
 
-impl Put {
+impl ChangeSet {
     /// Creates a record from changes.
     pub fn new(by: &str, changes: Vec<Change>) -> Self {
         Self {
@@ -63,7 +63,7 @@
     /// [`Rejected::Unreadable`] if the bytes are not a set of changes in this format.
     pub fn parse(bytes: &[u8]) -> Result<Self, Rejected> {
         match Record::parse(bytes)? {
-            Record::Put(put) => Ok(put),
+            Record::Changes(change_set) => Ok(change_set),
             Record::Checkpoint(_) => Err(Rejected::Unreadable(FieldError::new(
                 "checkpoint",
                 "a checkpoint",
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -2,6 +2,7 @@
 
 use indexmap::IndexSet;
 
+use crate::config::change_set::Change;
 use crate::config::document::AccountSpec;
 use crate::config::document::Body;
 use crate::config::document::Kind;
@@ -9,7 +10,6 @@
 use crate::config::document::PoolKind;
 use crate::config::document::PoolSpec;
 use crate::config::document::RuleSpec;
-use crate::config::put::Change;
 use crate::config::rejected::Rejected;
 use crate::ids::DocName;
 use crate::ids::Version;
--- a/src/config/checkpoint.rs
+++ b/src/config/checkpoint.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::config::put::FORMAT;
+use crate::config::change_set::FORMAT;
 use crate::config::snapshot::Snapshot;
 
 /// A record published by routers that holds the configuration as of an earlier offset.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -3,12 +3,12 @@
 //! As with the ledger, routers agree by applying the records in stream order. [`Config`] is the resulting state; it
 //! does no I/O.
 
+mod change_set;
 mod check;
 mod checkpoint;
 mod document;
 mod index;
 mod lookup;
-mod put;
 mod record;
 mod rejected;
 mod route;
@@ -18,6 +18,8 @@
 #[cfg(test)]
 mod tests;
 
+pub use change_set::Change;
+pub use change_set::ChangeSet;
 pub use checkpoint::Checkpoint;
 pub use document::AccountSpec;
 pub use document::Body;
@@ -28,8 +30,6 @@
 pub use document::PoolSpec;
 pub use document::RuleSpec;
 pub use document::TeamSpec;
-pub use put::Change;
-pub use put::Put;
 pub use rejected::Rejected;
 pub use route::Route;
 pub use snapshot::Document;
--- a/src/config/record.rs
+++ b/src/config/record.rs
@@ -3,9 +3,9 @@
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
+use crate::config::change_set::ChangeSet;
+use crate::config::change_set::FORMAT;
 use crate::config::checkpoint::Checkpoint;
-use crate::config::put::FORMAT;
-use crate::config::put::Put;
 use crate::config::rejected::Rejected;
 use crate::field;
 use crate::field::FieldError;
@@ -13,7 +13,7 @@
 /// A record of the configuration stream.
 pub(crate) enum Record {
     /// Changes published by an operator.
-    Put(Put),
+    Changes(ChangeSet),
     /// The whole configuration as of an earlier offset.
     Checkpoint(Checkpoint),
 }
@@ -39,7 +39,7 @@
             return Err(Rejected::Unreadable(error));
         }
         let record = match envelope.checkpoint {
-            None => field::read_json(bytes).map(Self::Put),
+            None => field::read_json(bytes).map(Self::Changes),
             Some(_) => field::read_json(bytes).map(Self::Checkpoint),
         };
         record.map_err(Rejected::Unreadable)
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -2,13 +2,13 @@
 
 use indexmap::IndexMap;
 
+use crate::config::change_set::Change;
+use crate::config::change_set::ChangeSet;
 use crate::config::check;
 use crate::config::document::Body;
 use crate::config::document::Kind;
 use crate::config::document::RuleSpec;
 use crate::config::index::Index;
-use crate::config::put::Change;
-use crate::config::put::Put;
 use crate::config::record::Record;
 use crate::config::rejected::Rejected;
 use crate::config::snapshot::Document;
@@ -75,8 +75,8 @@
         }
         self.next = Offset(offset.0 + 1);
         let outcome = Record::parse(bytes).and_then(|record| match record {
-            Record::Put(put) => self.put(Version(offset.0 + 1), put),
-            Record::Checkpoint(checkpoint) => self.checkpoint(offset, &checkpoint.checkpoint),
+            Record::Changes(change_set) => self.apply_changes(Version(offset.0 + 1), change_set),
+            Record::Checkpoint(checkpoint) => self.apply_checkpoint(offset, &checkpoint.checkpoint),
         });
         match &outcome {
             Ok(()) => {}
@@ -162,15 +162,15 @@
         Ok(ahead)
     }
 
-    fn put(&mut self, version: Version, put: Put) -> Result<(), Rejected> {
-        self.check_bases(&put.changes)?;
-        put.check()?;
-        let before = self.replace(version, &put.changes);
-        let (entered, outcome) = self.enter(&put.changes);
-        let outcome = outcome.and_then(|()| self.check_references(&put.changes));
+    fn apply_changes(&mut self, version: Version, change_set: ChangeSet) -> Result<(), Rejected> {
+        self.check_bases(&change_set.changes)?;
+        change_set.check()?;
+        let before = self.replace(version, &change_set.changes);
+        let (entered, outcome) = self.enter(&change_set.changes);
+        let outcome = outcome.and_then(|()| self.check_references(&change_set.changes));
         match outcome {
             Ok(()) => self.version = version,
-            Err(_) => self.restore(&put.changes[..entered], before),
+            Err(_) => self.restore(&change_set.changes[..entered], before),
         }
         outcome
     }
@@ -180,7 +180,7 @@
     /// A checkpoint that differs from the configuration in force comes from a router whose state has diverged, and a
     /// router that started from it would route differently from the others. Counting it as rejected makes the
     /// divergence visible in each router's state dump.
-    fn checkpoint(&mut self, offset: Offset, checkpoint: &Snapshot) -> Result<(), Rejected> {
+    fn apply_checkpoint(&mut self, offset: Offset, checkpoint: &Snapshot) -> Result<(), Rejected> {
         check_version("checkpoint.next", Version(checkpoint.next.0), offset.0)?;
         if checkpoint.version == self.version && !self.equals(&checkpoint.documents) {
             let allowed = format!("the documents of version {}", self.version);
--- a/src/demo/example.rs
+++ b/src/demo/example.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::config::Put;
+use crate::config::ChangeSet;
 use crate::key_hash::KeyHash;
 
 /// Returns the record that publishes it.
@@ -11,7 +11,7 @@
 /// # Panics
 ///
 /// Never: a test of the demo reads it.
-pub(crate) fn put(key: &str) -> Put {
+pub(crate) fn put(key: &str) -> ChangeSet {
     serde_json::from_value(json!({
         "format": 1,
         "by": "demo",
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use serde_json::json;
 
-use crate::config::Put;
+use crate::config::ChangeSet;
 use crate::http_client::HttpClient;
 use crate::http_client::HttpError;
 use crate::ids::VmId;
@@ -96,7 +96,7 @@
     vm.parse().expect("it is a name")
 }
 
-async fn publish(log: SocketAddr, put: &Put) -> io::Result<()> {
+async fn publish(log: SocketAddr, put: &ChangeSet) -> io::Result<()> {
     let url = format!("http://{log}/v1/streams/config/records");
     let body = serde_json::to_vec(put).map_err(io::Error::other)?;
     let answer = HttpClient::new(None)
