--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -24,7 +24,7 @@
 
 /// Whether and how requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Repeat {
+pub(crate) enum RepeatPolicy {
     /// A request runs at most once.
     Never,
     /// A request may be run again from the beginning.
@@ -43,7 +43,7 @@
     /// The path prefix, ending with a slash.
     pub(crate) prefix: String,
     /// Whether and how requests may be repeated.
-    pub(crate) repeat: Repeat,
+    pub(crate) repeat: RepeatPolicy,
     /// Maximum time until the final answer to a request.
     pub(crate) timeout: Duration,
     /// Latency objective for an answer, or for the first event of a stream.
@@ -109,7 +109,7 @@
 
 /// Limits on client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Intake {
+pub(crate) struct ConnectionLimits {
     /// Maximum size of a request head, in bytes.
     pub(crate) head_bytes: usize,
     /// Maximum size of a request body, in bytes.
@@ -126,7 +126,7 @@
     /// The version of the table.
     pub(crate) version: TableVersion,
     /// The limits on client connections.
-    pub(crate) intake: Intake,
+    pub(crate) intake: ConnectionLimits,
     hosts: IndexMap<String, Vec<PathRoute>>,
     pools: IndexMap<PoolId, TablePool>,
     payers: Vec<Payer>,
@@ -137,7 +137,7 @@
     /// Builds a table and its lookup indexes.
     pub(crate) fn new(
         version: TableVersion,
-        intake: Intake,
+        intake: ConnectionLimits,
         routes: Vec<PathRoute>,
         pools: Vec<TablePool>,
         payers: Vec<Payer>,
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -4,10 +4,10 @@
 
 use serde::Deserialize;
 
-use crate::config::Intake;
+use crate::config::ConnectionLimits;
 use crate::config::PathRoute;
 use crate::config::Payer;
-use crate::config::Repeat;
+use crate::config::RepeatPolicy;
 use crate::config::RouteTable;
 use crate::config::TablePool;
 use crate::field;
@@ -113,7 +113,7 @@
 /// With the field that is wrong, or the name that is none.
 pub(crate) fn decode(text: &[u8]) -> Result<RouteTable, FieldError> {
     let wire: Wire = field::read_json(text)?;
-    let intake = Intake {
+    let intake = ConnectionLimits {
         head_bytes: wire.limits.max_header_bytes,
         body_bytes: wire.limits.max_body_bytes,
         head_time: Duration::from_millis(wire.limits.header_timeout_ms),
@@ -162,9 +162,9 @@
     Ok(PathRoute {
         name: wire.name.parse().map_err(bad)?,
         repeat: match wire.kind {
-            WireKind::Idempotent => Repeat::Whole,
-            WireKind::Streaming if wire.resumable => Repeat::Resume,
-            WireKind::Streaming | WireKind::NonIdempotent => Repeat::Never,
+            WireKind::Idempotent => RepeatPolicy::Whole,
+            WireKind::Streaming if wire.resumable => RepeatPolicy::Resume,
+            WireKind::Streaming | WireKind::NonIdempotent => RepeatPolicy::Never,
         },
         host: wire.host,
         prefix: wire.path_prefix,
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::config::Repeat;
+use crate::config::RepeatPolicy;
 use crate::edge::desk::Desk;
 use crate::edge::metrics::Metrics;
 use crate::ids::TableVersion;
@@ -84,11 +84,17 @@
     let route = table
         .route("MAPS.example", "/a/x")
         .expect("the shorter prefix");
-    assert_eq!((route.name.as_str(), route.repeat), ("r-1", Repeat::Resume));
+    assert_eq!(
+        (route.name.as_str(), route.repeat),
+        ("r-1", RepeatPolicy::Resume)
+    );
     let route = table
         .route("maps.example", "/a/b/x")
         .expect("the longer prefix");
-    assert_eq!((route.name.as_str(), route.repeat), ("r-2", Repeat::Never));
+    assert_eq!(
+        (route.name.as_str(), route.repeat),
+        ("r-2", RepeatPolicy::Never)
+    );
     assert!(table.route("maps.example", "/b/").is_none());
     let payer = table.payer("secret").expect("a key that is in force");
     assert_eq!(payer.prepaid, Some(Tokens(4_912_792)));
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use crate::config::PathRoute;
-use crate::config::Repeat;
+use crate::config::RepeatPolicy;
 use crate::config::RouteTable;
 use crate::ids::AccountId;
 use crate::ids::PoolId;
@@ -88,7 +88,7 @@
             team,
             pool,
             bearer: Bearer::Team,
-            idempotent: route.repeat != Repeat::Never,
+            idempotent: route.repeat != RepeatPolicy::Never,
             reserve: relay.input.saturating_add(relay.output),
             limit: relay.output,
             priority: payer.map_or(route.priority, |payer| payer.priority.max(route.priority)),
@@ -176,9 +176,9 @@
             }
             RunEnd::Broken { begun, .. } => {
                 let retryable = match repeat {
-                    Repeat::Never => false,
-                    Repeat::Whole => !begun,
-                    Repeat::Resume => true,
+                    RepeatPolicy::Never => false,
+                    RepeatPolicy::Whole => !begun,
+                    RepeatPolicy::Resume => true,
                 };
                 if retryable && self.retry_relay(now, id) {
                     return;
@@ -242,7 +242,7 @@
         let Some(terms) = &self.relay else {
             return false;
         };
-        let retryable = terms.repeat != Repeat::Never && terms.runs + 1 < terms.attempts;
+        let retryable = terms.repeat != RepeatPolicy::Never && terms.runs + 1 < terms.attempts;
         retryable && !terms.timed_out && !terms.stopped && self.has_silent_endpoint(now)
     }
 
@@ -271,7 +271,7 @@
             account: terms.account.clone(),
             deadline: self.deadline,
             stride: terms.stride,
-            resumable: terms.repeat == Repeat::Resume,
+            resumable: terms.repeat == RepeatPolicy::Resume,
         })
     }
 }
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::config::Repeat;
+use crate::config::RepeatPolicy;
 use crate::decide::Prompt;
 use crate::ids::AccountId;
 use crate::ids::Attempt;
@@ -64,7 +64,7 @@
     /// The client account, if the route requires one.
     pub(crate) account: Option<AccountId>,
     /// How far the route allows repeated runs.
-    pub(crate) repeat: Repeat,
+    pub(crate) repeat: RepeatPolicy,
     /// The priority of its route among its team's routes, 0 (first) to 9 (last).
     pub(crate) priority: u8,
     /// The most endpoints that it may run on.
--- a/src/router/tests/site.rs
+++ b/src/router/tests/site.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::config::Intake;
+use crate::config::ConnectionLimits;
 use crate::config::PathRoute;
 use crate::config::Payer;
-use crate::config::Repeat;
+use crate::config::RepeatPolicy;
 use crate::config::RouteTable;
 use crate::config::TablePool;
 use crate::escrow::GrantKey;
@@ -120,19 +120,19 @@
         attempts,
         public: false,
     };
-    let intake = Intake {
+    let intake = ConnectionLimits {
         head_bytes: 16 << 10,
         body_bytes: 1 << 20,
         head_time: Duration::from_secs(3),
         idle_time: Duration::from_secs(15),
     };
     let routes = vec![
-        route("once", Repeat::Never, 1),
-        route("again", Repeat::Whole, 2),
-        route("stream", Repeat::Resume, 2),
+        route("once", RepeatPolicy::Never, 1),
+        route("again", RepeatPolicy::Whole, 2),
+        route("stream", RepeatPolicy::Resume, 2),
         PathRoute {
             priority: 0,
-            ..route("urgent", Repeat::Never, 1)
+            ..route("urgent", RepeatPolicy::Never, 1)
         },
     ];
     let pool = TablePool {
