--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -170,7 +170,7 @@
     }
 
     /// Returns the client account that a bearer key belongs to.
-    pub(crate) fn payer(&self, bearer: &str) -> Option<&Payer> {
+    pub(crate) fn payer_by_key(&self, bearer: &str) -> Option<&Payer> {
         self.payers.get(*self.keys.get(&KeyHash::of(bearer))?)
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Returns the number of routes.
-    pub(crate) fn count(&self) -> usize {
+    pub(crate) fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -80,7 +80,7 @@
 #[test]
 fn a_configuration_is_read() {
     let table = config::decode(document().to_string().as_bytes()).expect("it is good");
-    assert_eq!((table.version, table.count()), (TableVersion(7), 2));
+    assert_eq!((table.version, table.route_count()), (TableVersion(7), 2));
     let route = table
         .route("MAPS.example", "/a/x")
         .expect("the shorter prefix");
@@ -96,9 +96,11 @@
         ("r-2", RepeatPolicy::Never)
     );
     assert!(table.route("maps.example", "/b/").is_none());
-    let payer = table.payer("secret").expect("a key that is in force");
+    let payer = table
+        .payer_by_key("secret")
+        .expect("a key that is in force");
     assert_eq!(payer.prepaid, Some(Tokens(4_912_792)));
-    assert!(table.payer("other").is_none());
+    assert!(table.payer_by_key("other").is_none());
 }
 
 /// An operator's tool writes a configuration that can't be read. The message says which field is wrong and what stands
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -52,7 +52,7 @@
             event = "config-in-force",
             version = %table.version,
             old = old.map(|old| old.0),
-            routes = table.count()
+            routes = table.route_count()
         );
         self.table_watch.applied(table.version);
         self.effects.push(Effect::OfferTable(table.clone()));
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -59,7 +59,7 @@
             let detail = format!("no route for {}{}", relay.host, relay.path);
             return Err(self.deny(now, ProblemKind::NoRoute, &detail));
         };
-        let payer = table.payer(&arrival.bearer.0);
+        let payer = table.payer_by_key(&arrival.bearer.0);
         if payer.is_none() && !route.public && table.payers().next().is_some() {
             let detail = "the bearer key is none that is in force";
             return Err(self.deny(now, ProblemKind::Unauthorized, detail));
