--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -470,7 +470,7 @@
 
 fn put(config: &mut Config, changes: &[Value]) {
     let put = json!({"format": 1, "by": "bench", "changes": changes});
-    let outcome = config.apply(config.next(), put.to_string().as_bytes());
+    let outcome = config.apply(config.next_offset(), put.to_string().as_bytes());
     outcome.expect("it is sound");
 }
 
--- a/benches/config.rs
+++ b/benches/config.rs
@@ -58,7 +58,7 @@
 
 fn apply(config: &mut Config, record: &[u8]) -> Duration {
     let start = Instant::now();
-    let outcome = config.apply(config.next(), record);
+    let outcome = config.apply(config.next_offset(), record);
     let took = start.elapsed();
     outcome.expect("it is sound");
     took
@@ -117,12 +117,12 @@
     show("record of one change", times);
     let stale = put(&[team(0, 1, 2)]);
     let start = Instant::now();
-    let outcome = config.apply(config.next(), &stale);
+    let outcome = config.apply(config.next_offset(), &stale);
     println!("record that lost a race: {:?}", start.elapsed());
     assert!(outcome.is_err());
     let unsound = json!({"kind": "team", "name": "team-0", "base": config.version_of(jasmineridge::Kind::Team, &"team-0".parse().expect("it is a name")).0, "body": null});
     let start = Instant::now();
-    let outcome = config.apply(config.next(), &put(&[unsound]));
+    let outcome = config.apply(config.next_offset(), &put(&[unsound]));
     println!("unsound record: {:?}", start.elapsed());
     assert!(outcome.is_err());
 }
@@ -173,5 +173,5 @@
     time_changes(&mut config);
     time_lookups(&config);
     time_snapshot(&config);
-    assert!(config.next() > Offset(0));
+    assert!(config.next_offset() > Offset(0));
 }
--- a/src/cli/configuration.rs
+++ b/src/cli/configuration.rs
@@ -81,7 +81,7 @@
     ///
     /// When the log does not answer.
     pub(crate) async fn step(&mut self, wait: Duration) -> Result<Vec<Folded>, ReadError> {
-        let from = self.config.next();
+        let from = self.config.next_offset();
         let page = self.log.read(STREAM, from, PAGE, wait, LIMIT).await?;
         let mut folded = Vec::with_capacity(page.records.len());
         for record in page.records {
@@ -116,7 +116,7 @@
     async fn adopt(&mut self, places: &Places) -> Result<(), Failure> {
         let snapshot = Router::new(places)?.get("/v1/admin/config").await?;
         let adopted = self.config.adopt(snapshot).map_err(anyhow::Error::new)?;
-        if !adopted && self.config.next() == Offset(0) {
+        if !adopted && self.config.next_offset() == Offset(0) {
             let text = "the log has let old records go, and the router has no configuration yet";
             return Err(anyhow::anyhow!(text).into());
         }
--- a/src/cli/diff.rs
+++ b/src/cli/diff.rs
@@ -82,7 +82,7 @@
     let put = file::read_put(path)?;
     let config = Stream::open(places).await?.config;
     let mut after = config.clone();
-    let outcome = after.apply(after.next(), &put.to_bytes());
+    let outcome = after.apply(after.next_offset(), &put.to_bytes());
     let diff = Diff {
         documents: put.changes.iter().map(|c| compare(&config, c)).collect(),
         rejected: outcome.err().map(|e| e.to_string()),
--- a/src/cli/publish.rs
+++ b/src/cli/publish.rs
@@ -90,7 +90,7 @@
 /// Applies the record to a copy, so that what is sure to be refused is not published. Only the log's order decides.
 fn try_out(stream: &Stream, bytes: &[u8]) -> Result<(), Failure> {
     let mut copy = stream.config.clone();
-    let next = copy.next();
+    let next = copy.next_offset();
     copy.apply(next, bytes).map_err(rejected)
 }
 
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -22,19 +22,19 @@
 /// The configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Config {
-    next: Offset,
+    next_offset: Offset,
     version: Version,
     skipped: u64,
     rejected: u64,
-    checkpoint: Option<Offset>,
+    last_checkpoint: Option<Offset>,
     pub(super) documents: IndexMap<DocKey, Document>,
     pub(super) index: Index,
 }
 
 impl Config {
     /// Returns the offset of the next record to apply.
-    pub fn next(&self) -> Offset {
-        self.next
+    pub fn next_offset(&self) -> Offset {
+        self.next_offset
     }
 
     /// Returns the version of the last accepted record: its offset plus one, or 0 if there is none.
@@ -53,8 +53,8 @@
     }
 
     /// Returns the offset of the last checkpoint applied. A new one must be published before the log expires it.
-    pub fn checkpointed(&self) -> Option<Offset> {
-        self.checkpoint
+    pub fn last_checkpoint(&self) -> Option<Offset> {
+        self.last_checkpoint
     }
 
     /// Applies one record. A record that was already applied is ignored.
@@ -63,17 +63,17 @@
     ///
     /// If the record is not accepted. The configuration in force is unchanged then.
     pub fn apply(&mut self, offset: Offset, bytes: &[u8]) -> Result<(), Rejected> {
-        if offset < self.next {
+        if offset < self.next_offset {
             return Ok(());
         }
-        if offset > self.next {
-            let next = self.next;
+        if offset > self.next_offset {
+            let next = self.next_offset;
             return Err(Rejected::Gap {
                 next,
                 found: offset,
             });
         }
-        self.next = Offset(offset.0 + 1);
+        self.next_offset = Offset(offset.0 + 1);
         let outcome = Record::parse(bytes).and_then(|record| match record {
             Record::Changes(change_set) => self.apply_changes(Version(offset.0 + 1), change_set),
             Record::Checkpoint(checkpoint) => self.apply_checkpoint(offset, &checkpoint.checkpoint),
@@ -90,7 +90,7 @@
     ///
     /// Used by a router that finds the start of the stream expired and has no other router to ask. It passes the
     /// remaining records, from the first one on, until a checkpoint is adopted, and then continues from
-    /// [`Config::next`].
+    /// [`Config::next_offset`].
     ///
     /// # Errors
     ///
@@ -114,7 +114,7 @@
         let mut documents: Vec<_> = self.documents.values().cloned().collect();
         documents.sort_by(|a, b| (a.kind, &a.name).cmp(&(b.kind, &b.name)));
         Snapshot {
-            next: self.next,
+            next: self.next_offset,
             version: self.version,
             documents,
         }
@@ -130,7 +130,7 @@
     /// If the snapshot is invalid, for example written by a later program version. The configuration in force is
     /// unchanged then.
     pub fn adopt(&mut self, snapshot: Snapshot) -> Result<bool, Rejected> {
-        if snapshot.next <= self.next || snapshot.version < self.version {
+        if snapshot.next <= self.next_offset || snapshot.version < self.version {
             return Ok(false);
         }
         *self = self.ahead(snapshot)?;
@@ -141,11 +141,11 @@
     fn ahead(&self, snapshot: Snapshot) -> Result<Self, Rejected> {
         check_version("version", snapshot.version, snapshot.next.0)?;
         let mut ahead = Self {
-            next: snapshot.next,
+            next_offset: snapshot.next,
             version: snapshot.version,
             skipped: self.skipped,
             rejected: self.rejected,
-            checkpoint: self.checkpoint,
+            last_checkpoint: self.last_checkpoint,
             ..Self::default()
         };
         for document in snapshot.documents {
@@ -186,7 +186,7 @@
             let allowed = format!("the documents of version {}", self.version);
             return Err(Rejected::invalid("checkpoint.documents", "others", allowed));
         }
-        self.checkpoint = Some(offset);
+        self.last_checkpoint = Some(offset);
         Ok(())
     }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -78,7 +78,7 @@
 fn refused(config: &mut Config, record: &[u8]) -> Rejected {
     let before = config.clone();
     let why = config
-        .apply(config.next(), record)
+        .apply(config.next_offset(), record)
         .expect_err("record is rejected");
     assert_eq!(config.snapshot().documents, before.snapshot().documents);
     assert_eq!(config.index, before.index);
@@ -233,7 +233,7 @@
     let record = json!({"format": 2, "by": "test", "novelty": [], "changes": {}});
     let why = refused(&mut config, record.to_string().as_bytes());
     assert_eq!(path_of(why), "format");
-    assert_eq!((config.skipped(), config.next()), (1, Offset(2)));
+    assert_eq!((config.skipped(), config.next_offset()), (1, Offset(2)));
 }
 
 /// Records expired from the log while a router was disconnected. The next record builds on changes that it has not
@@ -267,18 +267,18 @@
     ];
     for record in &records {
         config
-            .apply(config.next(), record)
+            .apply(config.next_offset(), record)
             .expect("record is accepted");
     }
-    assert_eq!(config.checkpointed(), Some(Offset(2)));
+    assert_eq!(config.last_checkpoint(), Some(Offset(2)));
 
     let mut fresh = Config::default();
     assert_eq!(fresh.resume(Offset(1), &records[0]), Ok(false));
     assert_eq!(fresh.resume(Offset(2), &records[1]), Ok(true));
-    assert_eq!(fresh.next(), Offset(1));
+    assert_eq!(fresh.next_offset(), Offset(1));
     for record in &records {
         fresh
-            .apply(fresh.next(), record)
+            .apply(fresh.next_offset(), record)
             .expect("record is accepted");
     }
     assert_eq!(fresh.snapshot(), config.snapshot());
@@ -369,7 +369,7 @@
                 }
             }
         };
-        let _ = config.apply(config.next(), &record);
+        let _ = config.apply(config.next_offset(), &record);
         records.push(record);
         states.push(config.clone());
     }
@@ -413,9 +413,9 @@
         records.reverse();
     }
     let mut config = start.clone();
-    let outcomes = records.map(|record| config.apply(config.next(), &record));
+    let outcomes = records.map(|record| config.apply(config.next_offset(), &record));
     let lost = matches!(outcomes[1], Err(Rejected::Conflict { .. }));
-    let won = config.version() == Version(start.next().0 + 1);
+    let won = config.version() == Version(start.next_offset().0 + 1);
     outcomes[0].is_ok() && lost && won
 }
 
@@ -430,7 +430,7 @@
     let (records, states) = history(&publications);
     let mut config = Config::default();
     relays.into_iter().all(|(at, way)| {
-        let before = (config.next(), config.version());
+        let before = (config.next_offset(), config.version());
         let place = at % records.len().max(1);
         let Some(record) = records.get(place) else {
             return true;
@@ -441,7 +441,7 @@
             _ => drop(config.apply(Offset(place as u64), record)),
         }
         let same = states.iter().any(|s| s.snapshot() == config.snapshot());
-        same && (config.next(), config.version()) >= before && config.version() >= before.1
+        same && (config.next_offset(), config.version()) >= before && config.version() >= before.1
     })
 }
 
--- a/src/router/config_stream.rs
+++ b/src/router/config_stream.rs
@@ -51,19 +51,19 @@
     }
 
     fn fold_config_entry(&mut self, entry: Entry) {
-        if entry.offset < self.config.next() {
+        if entry.offset < self.config.next_offset() {
             return;
         }
-        if entry.offset > self.config.next() {
+        if entry.offset > self.config.next_offset() {
             self.handle_config_gap(entry);
             return;
         }
-        let checkpointed = self.config.checkpointed();
+        let checkpointed = self.config.last_checkpoint();
         if let Err(error) = self.config.apply(entry.offset, &entry.data) {
             warn!(event = "config-rejected", offset = %entry.offset, %error);
         }
         let first = self.config_stream.checkpoint_ms.is_none();
-        if first || self.config.checkpointed() != checkpointed {
+        if first || self.config.last_checkpoint() != checkpointed {
             self.config_stream.checkpoint_ms = Some(entry.at);
         }
     }
@@ -130,7 +130,7 @@
             return;
         }
         let retention = millis(self.tuning.retention);
-        let turn = u64::from(self.rank(Incarnation(self.config.next().0)));
+        let turn = u64::from(self.rank(Incarnation(self.config.next_offset().0)));
         let due =
             checkpoint_ms + retention / CHECKPOINT_DIVISOR + turn * (retention / TURN_DIVISOR);
         if self.log_time_ms(now) < due {
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -297,7 +297,7 @@
             .relayed
             .get(&beat.vm)
             .is_some_and(|at| now < *at + Duration::from_secs(1));
-        if beat.config >= self.config.next() || recent {
+        if beat.config >= self.config.next_offset() || recent {
             return;
         }
         let Some(peer) = self.members.roster.peer(&beat.vm).cloned() else {
@@ -315,7 +315,7 @@
             router: self.me,
             serving: self.serving(),
             load: self.load(),
-            config: self.config.next(),
+            config: self.config.next_offset(),
             table: self.table_version(),
             drained: self.drained.clone(),
             clock: self.tuning.clock.at(now).wall,
