--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -65,11 +65,11 @@
         let found = format!("a body of the kind {}", body.kind());
         return Err(Rejected::invalid(path, found, kind.to_string()));
     }
-    check(&path, body)
+    check_body(&path, body)
 }
 
 /// Checks a document's content; `path` is the document's path for error messages.
-fn check(path: &str, body: &Body) -> Result<(), Rejected> {
+fn check_body(path: &str, body: &Body) -> Result<(), Rejected> {
     match body {
         Body::Account(account) => check_account(path, account),
         Body::Team(_) => Ok(()),
@@ -119,13 +119,13 @@
                 let path = format!("{path}.models");
                 return Err(Rejected::invalid(path, "no model", "at least one"));
             }
-            check_amount(&format!("{path}.max_tokens"), *max_tokens)
+            check_nonzero(&format!("{path}.max_tokens"), *max_tokens)
         }
         PoolKind::Service {
             name, repeatable, ..
         } => {
             let path = format!("{path}.kind.service");
-            check_segment(&format!("{path}.name"), name)?;
+            check_service_name(&format!("{path}.name"), name)?;
             repeatable
                 .keys()
                 .try_for_each(|method| check_method(&format!("{path}.repeatable"), method))
@@ -133,16 +133,16 @@
     }
 }
 
-fn check_amount(path: &str, amount: Tokens) -> Result<(), Rejected> {
+fn check_nonzero(path: &str, amount: Tokens) -> Result<(), Rejected> {
     match amount {
         Tokens::ZERO => Err(Rejected::invalid(path, "0", "1 or more")),
         _ => Ok(()),
     }
 }
 
-fn check_segment(path: &str, name: &str) -> Result<(), Rejected> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.';
-    if (1..=64).contains(&name.len()) && name.bytes().all(plain) {
+fn check_service_name(path: &str, name: &str) -> Result<(), Rejected> {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.';
+    if (1..=64).contains(&name.len()) && name.bytes().all(is_allowed) {
         return Ok(());
     }
     let allowed = "1 to 64 letters, digits, `-`, `_` and `.`";
--- a/src/config/index.rs
+++ b/src/config/index.rs
@@ -16,11 +16,11 @@
 use crate::key_hash::KeyHash;
 
 /// The label that holds the client account's name; every request has it.
-pub(crate) const ACCOUNT: &str = "account";
+pub(crate) const ACCOUNT_LABEL: &str = "account";
 
 /// Rule names in evaluation order. A `BTreeSet`, since keeping an `indexmap` set sorted costs time proportional to its
 /// size. The content of the rules is in the documents.
-type Rules = BTreeSet<(u32, DocName)>;
+type RuleSet = BTreeSet<(u32, DocName)>;
 
 /// Indexes of keys, service names and rules, so that no request scans all documents.
 ///
@@ -31,10 +31,10 @@
 pub(crate) struct Index {
     keys: IndexMap<KeyHash, DocName>,
     services: IndexMap<String, DocName>,
-    common: Rules,
-    by_account: IndexMap<String, Rules>,
-    teams: IndexMap<TeamId, usize>,
-    pools: IndexMap<PoolId, usize>,
+    global_rules: RuleSet,
+    account_rules: IndexMap<String, RuleSet>,
+    team_refs: IndexMap<TeamId, usize>,
+    pool_refs: IndexMap<PoolId, usize>,
 }
 
 impl Index {
@@ -47,8 +47,8 @@
     where
         M: Fn(&DocName) -> bool,
     {
-        let own = account.and_then(|account| self.by_account.get(account));
-        let candidates = own.into_iter().chain([&self.common]);
+        let account_rules = account.and_then(|account| self.account_rules.get(account));
+        let candidates = account_rules.into_iter().chain([&self.global_rules]);
         candidates
             .filter_map(|rules| rules.iter().find(|(_, name)| matches(name)))
             .min()
@@ -56,13 +56,13 @@
     }
 
     /// Returns the number of rules that refer to a team.
-    pub(crate) fn team_uses(&self, team: &TeamId) -> usize {
-        self.teams.get(team).copied().unwrap_or_default()
+    pub(crate) fn team_ref_count(&self, team: &TeamId) -> usize {
+        self.team_refs.get(team).copied().unwrap_or_default()
     }
 
     /// Returns the number of rules that refer to a pool.
-    pub(crate) fn pool_uses(&self, pool: &PoolId) -> usize {
-        self.pools.get(pool).copied().unwrap_or_default()
+    pub(crate) fn pool_ref_count(&self, pool: &PoolId) -> usize {
+        self.pool_refs.get(pool).copied().unwrap_or_default()
     }
 
     /// Adds a document that has already passed its own validation.
@@ -105,33 +105,37 @@
     }
 
     fn add_rule(&mut self, name: &DocName, rule: &RuleSpec) {
-        *self.teams.entry(rule.team.clone()).or_default() += 1;
-        *self.pools.entry(rule.pool.clone()).or_default() += 1;
-        let place = (rule.order, name.clone());
-        let Some(accounts) = rule.when.0.get(ACCOUNT) else {
-            self.common.insert(place);
+        *self.team_refs.entry(rule.team.clone()).or_default() += 1;
+        *self.pool_refs.entry(rule.pool.clone()).or_default() += 1;
+        let entry = (rule.order, name.clone());
+        let Some(accounts) = rule.when.0.get(ACCOUNT_LABEL) else {
+            self.global_rules.insert(entry);
             return;
         };
         for account in accounts {
-            let rules = self.by_account.entry(account.clone()).or_default();
-            rules.insert(place.clone());
+            let rules = self.account_rules.entry(account.clone()).or_default();
+            rules.insert(entry.clone());
         }
     }
 
     fn remove_rule(&mut self, name: &DocName, rule: &RuleSpec) {
-        count_down(&mut self.teams, &rule.team);
-        count_down(&mut self.pools, &rule.pool);
-        let place = (rule.order, name.clone());
-        let Some(accounts) = rule.when.0.get(ACCOUNT) else {
-            self.common.remove(&place);
+        decrement(&mut self.team_refs, &rule.team);
+        decrement(&mut self.pool_refs, &rule.pool);
+        let entry = (rule.order, name.clone());
+        let Some(accounts) = rule.when.0.get(ACCOUNT_LABEL) else {
+            self.global_rules.remove(&entry);
             return;
         };
         for account in accounts {
-            if let Some(rules) = self.by_account.get_mut(account) {
-                rules.remove(&place);
+            if let Some(rules) = self.account_rules.get_mut(account) {
+                rules.remove(&entry);
             }
-            if self.by_account.get(account).is_some_and(Rules::is_empty) {
-                self.by_account.swap_remove(account);
+            if self
+                .account_rules
+                .get(account)
+                .is_some_and(RuleSet::is_empty)
+            {
+                self.account_rules.swap_remove(account);
             }
         }
     }
@@ -166,7 +170,7 @@
     }
 }
 
-fn count_down<K>(counts: &mut IndexMap<K, usize>, key: &K)
+fn decrement<K>(counts: &mut IndexMap<K, usize>, key: &K)
 where
     K: Hash + Eq,
 {
--- a/src/config/lookup.rs
+++ b/src/config/lookup.rs
@@ -38,7 +38,7 @@
 
     /// Returns the route of a request with these labels: the paying team, the pool and the priority.
     pub fn route(&self, labels: &Labels) -> Option<Route> {
-        let account = labels.get(index::ACCOUNT);
+        let account = labels.get(index::ACCOUNT_LABEL);
         let matches = |name: &DocName| self.rule(name).is_some_and(|r| r.when.matches(labels));
         let name = self.index.route(account, matches)?;
         let rule = self.rule(name)?;
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -133,14 +133,14 @@
         if snapshot.next <= self.next_offset || snapshot.version < self.version {
             return Ok(false);
         }
-        *self = self.ahead(snapshot)?;
+        *self = self.build_from(snapshot)?;
         Ok(true)
     }
 
     /// Builds a state from a snapshot without modifying the one in force.
-    fn ahead(&self, snapshot: Snapshot) -> Result<Self, Rejected> {
+    fn build_from(&self, snapshot: Snapshot) -> Result<Self, Rejected> {
         check_version("version", snapshot.version, snapshot.next.0)?;
-        let mut ahead = Self {
+        let mut restored = Self {
             next_offset: snapshot.next,
             version: snapshot.version,
             skipped: self.skipped,
@@ -152,25 +152,25 @@
             let (kind, name) = (document.kind, document.name.clone());
             check::check_document(kind, &name, &document.body)?;
             check_version("documents", document.version, snapshot.version.0)?;
-            ahead.index.add(&name, &document.body)?;
-            ahead.documents.insert((kind, name), document);
+            restored.index.add(&name, &document.body)?;
+            restored.documents.insert((kind, name), document);
         }
-        ahead.documents().try_for_each(|d| match &d.body {
-            Body::Rule(rule) => ahead.check_rule(&d.name, rule),
+        restored.documents().try_for_each(|d| match &d.body {
+            Body::Rule(rule) => restored.check_rule(&d.name, rule),
             _ => Ok(()),
         })?;
-        Ok(ahead)
+        Ok(restored)
     }
 
     fn apply_changes(&mut self, version: Version, change_set: ChangeSet) -> Result<(), Rejected> {
         self.check_bases(&change_set.changes)?;
         change_set.check()?;
-        let before = self.replace(version, &change_set.changes);
-        let (entered, outcome) = self.enter(&change_set.changes);
+        let replaced = self.replace_documents(version, &change_set.changes);
+        let (indexed, outcome) = self.index_documents(&change_set.changes);
         let outcome = outcome.and_then(|()| self.check_references(&change_set.changes));
         match outcome {
             Ok(()) => self.version = version,
-            Err(_) => self.restore(&change_set.changes[..entered], before),
+            Err(_) => self.roll_back(&change_set.changes[..indexed], replaced),
         }
         outcome
     }
@@ -182,7 +182,7 @@
     /// divergence visible in each router's state dump.
     fn apply_checkpoint(&mut self, offset: Offset, checkpoint: &Snapshot) -> Result<(), Rejected> {
         check_version("checkpoint.next", Version(checkpoint.next.0), offset.0)?;
-        if checkpoint.version == self.version && !self.equals(&checkpoint.documents) {
+        if checkpoint.version == self.version && !self.has_same_documents(&checkpoint.documents) {
             let allowed = format!("the documents of version {}", self.version);
             return Err(Rejected::invalid("checkpoint.documents", "others", allowed));
         }
@@ -190,7 +190,7 @@
         Ok(())
     }
 
-    fn equals(&self, documents: &[Document]) -> bool {
+    fn has_same_documents(&self, documents: &[Document]) -> bool {
         let same = |document: &Document| {
             let key = (document.kind, document.name.clone());
             self.documents.get(&key) == Some(document)
@@ -218,8 +218,12 @@
     }
 
     /// Replaces the changed documents, removes the old ones from the index, and returns the old ones.
-    fn replace(&mut self, version: Version, changes: &[Change]) -> Vec<(DocKey, Option<Document>)> {
-        let mut before = Vec::with_capacity(changes.len());
+    fn replace_documents(
+        &mut self,
+        version: Version,
+        changes: &[Change],
+    ) -> Vec<(DocKey, Option<Document>)> {
+        let mut replaced = Vec::with_capacity(changes.len());
         for change in changes {
             let key = (change.kind, change.name.clone());
             let old = self.documents.swap_remove(&key);
@@ -232,18 +236,18 @@
                 };
                 self.documents.insert(key.clone(), document);
             }
-            before.push((key, old));
+            replaced.push((key, old));
         }
-        for ((_, name), old) in &before {
+        for ((_, name), old) in &replaced {
             if let Some(old) = old {
                 self.index.remove(name, &old.body);
             }
         }
-        before
+        replaced
     }
 
     /// Adds the changed documents to the index, and returns the number of changes processed before an error.
-    fn enter(&mut self, changes: &[Change]) -> (usize, Result<(), Rejected>) {
+    fn index_documents(&mut self, changes: &[Change]) -> (usize, Result<(), Rejected>) {
         for (at, change) in changes.iter().enumerate() {
             let Some(body) = &change.body else {
                 continue;
@@ -267,10 +271,10 @@
         match (&change.body, change.kind) {
             (Some(Body::Rule(rule)), _) => self.check_rule(name, rule),
             (None, Kind::Team) => check_unused(change, name.as_str().parse().ok(), |team| {
-                self.index.team_uses(team)
+                self.index.team_ref_count(team)
             }),
             (None, Kind::Pool) => check_unused(change, name.as_str().parse().ok(), |pool| {
-                self.index.pool_uses(pool)
+                self.index.pool_ref_count(pool)
             }),
             _ => Ok(()),
         }
@@ -290,17 +294,17 @@
         Ok(())
     }
 
-    /// Rolls back a replacement whose changes in `entered` had been added to the index.
+    /// Rolls back a replacement whose changes in `indexed` had been added to the index.
     ///
     /// It reverts only these changes. Rebuilding the index takes time proportional to the number of documents and would
     /// block all routers at once whenever an operator publishes an invalid change.
-    fn restore(&mut self, entered: &[Change], before: Vec<(DocKey, Option<Document>)>) {
-        for change in entered {
+    fn roll_back(&mut self, indexed: &[Change], replaced: Vec<(DocKey, Option<Document>)>) {
+        for change in indexed {
             if let Some(body) = &change.body {
                 self.index.remove(&change.name, body);
             }
         }
-        for (key, old) in before {
+        for (key, old) in replaced {
             let Some(old) = old else {
                 self.documents.swap_remove(&key);
                 continue;
@@ -322,11 +326,11 @@
     Err(Rejected::invalid(path, version.to_string(), allowed))
 }
 
-fn check_unused<I, U>(change: &Change, id: Option<I>, uses: U) -> Result<(), Rejected>
+fn check_unused<I, U>(change: &Change, id: Option<I>, ref_count: U) -> Result<(), Rejected>
 where
     U: Fn(&I) -> usize,
 {
-    match id.map_or(0, |id| uses(&id)) {
+    match id.map_or(0, |id| ref_count(&id)) {
         0 => Ok(()),
         count => Err(Rejected::invalid(
             format!("{}/{}", change.kind, change.name),
