--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -25,12 +25,12 @@
     json!({"kind": "team", "name": name, "base": base, "body": {"team": {}}})
 }
 
-fn hex(bearer: &str) -> String {
+fn key_hash(bearer: &str) -> String {
     KeyHash::of(bearer).to_string()
 }
 
 fn account(name: &str, base: u64, bearer: &str) -> Value {
-    json!({"kind": "account", "name": name, "base": base, "body": {"account": {"keys": [hex(bearer)]}}})
+    json!({"kind": "account", "name": name, "base": base, "body": {"account": {"keys": [key_hash(bearer)]}}})
 }
 
 fn service(name: &str, base: u64, service: &str) -> Value {
@@ -75,18 +75,18 @@
 }
 
 /// Applies a record that must be rejected and returns the reason. Asserts that the configuration is unchanged.
-fn refused(config: &mut Config, record: &[u8]) -> Rejected {
+fn apply_rejected(config: &mut Config, record: &[u8]) -> Rejected {
     let before = config.clone();
-    let why = config
+    let error = config
         .apply(config.next_offset(), record)
         .expect_err("record is rejected");
     assert_eq!(config.snapshot().documents, before.snapshot().documents);
     assert_eq!(config.index, before.index);
     assert_eq!(config.version(), before.version());
-    why
+    error
 }
 
-fn path_of(rejected: Rejected) -> String {
+fn error_path(rejected: Rejected) -> String {
     match rejected {
         Rejected::Invalid(field) | Rejected::Unreadable(field) => field.path,
         other => panic!("{other}"),
@@ -102,7 +102,7 @@
     assert_eq!(name.as_str(), "yard");
     assert!(config.account_by_key("secret-3").is_none());
     // The published hash must not be accepted as a key.
-    assert!(config.account_by_key(&hex("secret-2")).is_none());
+    assert!(config.account_by_key(&key_hash("secret-2")).is_none());
 }
 
 #[test]
@@ -111,12 +111,12 @@
     let name = |pairs| config.route(&labels(pairs)).map(|r| r.rule.to_string());
     assert_eq!(name(&[("account", "desk")]).as_deref(), Some("z-all"));
     assert_eq!(name(&[("purpose", "audit")]).as_deref(), Some("a-late"));
-    let both = [("account", "yard"), ("purpose", "audit")];
-    assert_eq!(name(&both).as_deref(), Some("yard-only"));
+    let pairs = [("account", "yard"), ("purpose", "audit")];
+    assert_eq!(name(&pairs).as_deref(), Some("yard-only"));
 }
 
 #[test]
-fn forgets_rules_and_keys_that_went() {
+fn drops_deleted_rules_and_replaced_keys() {
     let mut config = example();
     let change = put(json!([
         deletion("rule", "yard-only", 1),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn lets_a_team_go_once_no_rule_names_it() {
+fn deletes_an_unreferenced_team() {
     let mut config = example();
     let rules = put(json!([
         deletion("rule", "yard-only", 1),
@@ -146,22 +146,22 @@
 /// A record with one invalid change must be rejected as a whole, including its valid changes, and the error must name
 /// the invalid field.
 #[test]
-fn refuses_an_unsound_configuration_whole() {
-    let mut bad_limits = account("x", 0, "k");
-    bad_limits["body"]["account"]["limits"] = json!({"rate": 0});
-    let mut bad_key = account("x", 0, "k");
-    bad_key["body"]["account"]["keys"] = json!(["the-raw-key"]);
-    let mut unknown = team("x", 0);
-    unknown["body"]["team"]["colour"] = json!("red");
-    let mut bad_priority = rule("x", 1, json!({}), "lending");
-    bad_priority["body"]["rule"]["priority"] = json!(10);
+fn rejects_an_invalid_record_as_a_whole() {
+    let mut invalid_limits = account("x", 0, "k");
+    invalid_limits["body"]["account"]["limits"] = json!({"rate": 0});
+    let mut invalid_key = account("x", 0, "k");
+    invalid_key["body"]["account"]["keys"] = json!(["the-raw-key"]);
+    let mut unknown_field = team("x", 0);
+    unknown_field["body"]["team"]["colour"] = json!("red");
+    let mut invalid_priority = rule("x", 1, json!({}), "lending");
+    invalid_priority["body"]["rule"]["priority"] = json!(10);
     let mut other_kind = team("x", 0);
     other_kind["kind"] = json!("pool");
-    let mistakes = [
-        (bad_limits, "account/x.limits.rate"),
-        (bad_key, "account/x.keys[0]"),
-        (unknown, "changes[1].body.team.colour"),
-        (bad_priority, "rule/x.priority"),
+    let invalid_changes = [
+        (invalid_limits, "account/x.limits.rate"),
+        (invalid_key, "account/x.keys[0]"),
+        (unknown_field, "changes[1].body.team.colour"),
+        (invalid_priority, "rule/x.priority"),
         (other_kind, "pool/x"),
         (rule("x", 1, json!({"a": []}), "lending"), "rule/x.when.a"),
         (rule("x", 1, json!({}), "nobody"), "rule/x.team"),
@@ -182,57 +182,60 @@
         ),
     ];
     let mut config = example();
-    for (mistake, path) in mistakes {
-        let record = put(json!([team("good", 0), mistake]));
-        assert_eq!(path_of(refused(&mut config, &record)), path);
+    for (invalid_change, path) in invalid_changes {
+        let record = put(json!([team("good", 0), invalid_change]));
+        assert_eq!(error_path(apply_rejected(&mut config, &record)), path);
     }
-    assert_eq!(path_of(refused(&mut config, &put(json!([])))), "changes");
+    assert_eq!(
+        error_path(apply_rejected(&mut config, &put(json!([])))),
+        "changes"
+    );
     assert_eq!((config.skipped(), config.rejected()), (3, 14));
 }
 
 /// The last change of a record that replaces, deletes and adds documents is invalid. All lookups must be restored, at a
 /// cost limited to what the record changed.
 #[test]
-fn undoes_what_came_before_a_mistake() {
-    let mut twice = account("yard", 1, "new-2");
-    twice["body"]["account"]["keys"] = json!([hex("new-3"), hex("new-3")]);
-    let mistakes = [
-        twice,
+fn rolls_back_the_changes_before_an_invalid_one() {
+    let mut duplicate_key = account("yard", 1, "new-2");
+    duplicate_key["body"]["account"]["keys"] = json!([key_hash("new-3"), key_hash("new-3")]);
+    let invalid_changes = [
+        duplicate_key,
         service("x", 0, "renamed"),
         rule("x", 1, json!({}), "nobody"),
         deletion("team", "lending", 1),
     ];
-    for mistake in mistakes {
+    for invalid_change in invalid_changes {
         let record = put(json!([
             account("desk", 1, "new-1"),
             service("loans", 1, "renamed"),
             deletion("rule", "a-late", 1),
             rule("a-new", 0, json!({"account": ["yard", "desk"]}), "audit"),
-            mistake,
+            invalid_change,
         ]));
         assert!(matches!(
-            refused(&mut example(), &record),
+            apply_rejected(&mut example(), &record),
             Rejected::Invalid(_)
         ));
     }
 }
 
 #[test]
-fn keeps_a_wrong_key_out_of_the_message() {
+fn omits_an_invalid_key_from_the_error() {
     let mut change = account("x", 0, "k");
     change["body"]["account"]["keys"] = json!(["the-raw-key"]);
-    let why = refused(&mut example(), &put(json!([change])));
-    assert!(!why.to_string().contains("the-raw-key"), "{why}");
+    let error = apply_rejected(&mut example(), &put(json!([change])));
+    assert!(!error.to_string().contains("the-raw-key"), "{error}");
 }
 
 /// A later program version publishes an unknown format. The record must be counted and skipped, and the configuration
 /// in force kept.
 #[test]
-fn skips_a_later_format() {
+fn skips_an_unknown_format() {
     let mut config = example();
     let record = json!({"format": 2, "by": "test", "novelty": [], "changes": {}});
-    let why = refused(&mut config, record.to_string().as_bytes());
-    assert_eq!(path_of(why), "format");
+    let error = apply_rejected(&mut config, record.to_string().as_bytes());
+    assert_eq!(error_path(error), "format");
     assert_eq!((config.skipped(), config.next_offset()), (1, Offset(2)));
 }
 
@@ -285,7 +288,7 @@
 }
 
 #[test]
-fn rejects_a_checkpoint_of_what_was_not_in_force() {
+fn rejects_a_checkpoint_that_differs_from_the_state() {
     let mut other = example().snapshot();
     other.documents.pop();
     let mut ahead = example().snapshot();
@@ -293,7 +296,7 @@
     for snapshot in [other, ahead] {
         let record = Checkpoint::new("vm-1", snapshot).to_bytes();
         assert!(matches!(
-            refused(&mut example(), &record),
+            apply_rejected(&mut example(), &record),
             Rejected::Invalid(_)
         ));
     }
@@ -302,7 +305,7 @@
 /// A peer sends a snapshot that is invalid in this version, such as a rule whose team is missing. The configuration in
 /// force must be kept.
 #[test]
-fn refuses_an_unsound_snapshot() {
+fn rejects_an_invalid_snapshot() {
     let mut config = example();
     let mut snapshot = config.snapshot();
     snapshot.next = Offset(9);
@@ -312,7 +315,7 @@
 }
 
 #[test]
-fn carries_a_snapshot_through_the_codec_of_peers() {
+fn snapshots_survive_encoding() {
     let snapshot = example().snapshot();
     let bytes = postcard::to_stdvec(&snapshot).expect("snapshot can be encoded");
     assert_eq!(postcard::from_bytes(&bytes), Ok(snapshot.clone()));
@@ -329,13 +332,13 @@
 enum Publication {
     Checkpoint(usize),
     Team { name: u8, stale: bool, gone: bool },
-    Noise(Vec<u8>),
+    RandomBytes(Vec<u8>),
 }
 
 impl Arbitrary for Publication {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 6 {
-            0 => Self::Noise(Arbitrary::arbitrary(g)),
+            0 => Self::RandomBytes(Arbitrary::arbitrary(g)),
             1 => Self::Checkpoint(Arbitrary::arbitrary(g)),
             _ => Self::Team {
                 name: u8::arbitrary(g) % 3,
@@ -353,7 +356,7 @@
     let mut states = vec![config.clone()];
     for publication in publications {
         let record = match publication {
-            Publication::Noise(bytes) => bytes.clone(),
+            Publication::RandomBytes(bytes) => bytes.clone(),
             Publication::Checkpoint(at) => {
                 let snapshot = states[at % states.len()].snapshot();
                 Checkpoint::new("test", snapshot).to_bytes()
@@ -377,17 +380,17 @@
 }
 
 /// Seed of the property tests' generator.
-const SEED: u64 = 20_261_202;
+const GEN_SEED: u64 = 20_261_202;
 
 /// Maximum size of a generated value.
-const SIZE: usize = 60;
+const GEN_SIZE: usize = 60;
 
 fn check<T>(property: T)
 where
     T: Testable,
 {
-    println!("seed={SEED} size={SIZE}");
-    let generator = Gen::from_size_and_seed(SIZE, SEED);
+    println!("seed={GEN_SEED} size={GEN_SIZE}");
+    let generator = Gen::from_size_and_seed(GEN_SIZE, GEN_SEED);
     QuickCheck::new()
         .rng(generator)
         .tests(200)
@@ -397,11 +400,14 @@
 /// Two operators read the same version and change the same document. The record that is first in the log must win, and
 /// the other one be rejected with a conflict.
 #[test]
-fn lets_one_of_two_racers_win() {
-    check(lets_one_of_two_racers_win_holds as fn(Vec<Publication>, bool) -> bool);
+fn accepts_one_of_two_conflicting_changes() {
+    check(accepts_one_of_two_conflicting_changes_holds as fn(Vec<Publication>, bool) -> bool);
 }
 
-fn lets_one_of_two_racers_win_holds(before: Vec<Publication>, second_first: bool) -> bool {
+fn accepts_one_of_two_conflicting_changes_holds(
+    before: Vec<Publication>,
+    second_first: bool,
+) -> bool {
     let (_, states) = history(&before);
     let start = states.last().expect("history has a state");
     let base = start.version_of(Kind::Team, &"team-0".parse().expect("valid document name"));
@@ -429,16 +435,16 @@
 fn never_reverts_holds(publications: Vec<Publication>, relays: Vec<(usize, u8)>) -> bool {
     let (records, states) = history(&publications);
     let mut config = Config::default();
-    relays.into_iter().all(|(at, way)| {
+    relays.into_iter().all(|(at, delivery)| {
         let before = (config.next_offset(), config.version());
-        let place = at % records.len().max(1);
-        let Some(record) = records.get(place) else {
+        let offset = at % records.len().max(1);
+        let Some(record) = records.get(offset) else {
             return true;
         };
-        match way % 3 {
+        match delivery % 3 {
             0 => drop(config.adopt(states[at % states.len()].snapshot())),
-            1 => drop(config.resume(Offset(place as u64), record)),
-            _ => drop(config.apply(Offset(place as u64), record)),
+            1 => drop(config.resume(Offset(offset as u64), record)),
+            _ => drop(config.apply(Offset(offset as u64), record)),
         }
         let same = states.iter().any(|s| s.snapshot() == config.snapshot());
         same && (config.next_offset(), config.version()) >= before && config.version() >= before.1
@@ -447,14 +453,14 @@
 
 /// Two routers with the same history, one of them started from a snapshot, must produce identical snapshot bytes.
 #[test]
-fn gives_the_same_bytes() {
-    check(gives_the_same_bytes_holds as fn(Vec<Publication>, usize) -> bool);
+fn snapshots_are_deterministic() {
+    check(snapshots_are_deterministic_holds as fn(Vec<Publication>, usize) -> bool);
 }
 
-fn gives_the_same_bytes_holds(publications: Vec<Publication>, joined: usize) -> bool {
+fn snapshots_are_deterministic_holds(publications: Vec<Publication>, start: usize) -> bool {
     let (records, states) = history(&publications);
     let mut late = Config::default();
-    let _ = late.adopt(states[joined % states.len()].snapshot());
+    let _ = late.adopt(states[start % states.len()].snapshot());
     for (at, record) in records.iter().enumerate() {
         let _ = late.apply(Offset(at as u64), record);
     }
@@ -478,11 +484,11 @@
 }
 
 #[test]
-fn survives_random_bytes() {
-    check(survives_random_bytes_holds as fn(Vec<u8>) -> bool);
+fn rejects_random_bytes() {
+    check(rejects_random_bytes_holds as fn(Vec<u8>) -> bool);
 }
 
-fn survives_random_bytes_holds(bytes: Vec<u8>) -> bool {
+fn rejects_random_bytes_holds(bytes: Vec<u8>) -> bool {
     let mut config = example();
     config.apply(Offset(1), &bytes).is_err() && config.version() == Version(1)
 }
