--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -175,7 +175,8 @@
         outcome
     }
 
-    /// Validates a checkpoint. It does not change the documents of a router that has applied all earlier records.
+    /// Validates a checkpoint and records its offset. The documents stay unchanged, since all earlier records have been
+    /// applied.
     ///
     /// A checkpoint that differs from the configuration in force comes from a router whose state has diverged, and a
     /// router that started from it would route differently from the others. Counting it as rejected makes the
