--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,7 +1,8 @@
-//! Whether a change is sound by itself.
+//! Validation of single changes and documents, independent of the configuration that they are applied to.
 
 use indexmap::IndexSet;
 
+use crate::config::change_set::Change;
 use crate::config::document::AccountSpec;
 use crate::config::document::Body;
 use crate::config::document::Kind;
@@ -9,7 +10,6 @@
 use crate::config::document::PoolKind;
 use crate::config::document::PoolSpec;
 use crate::config::document::RuleSpec;
-use crate::config::put::Change;
 use crate::config::rejected::Rejected;
 use crate::ids::DocName;
 use crate::ids::Version;
@@ -17,17 +17,17 @@
 use crate::labels::Selector;
 use crate::tokens::Tokens;
 
-/// The most changes of one record: ten times the hourly share of 4,800 changes a day. It bounds how
-/// long one record can hold up the loop.
+/// Maximum number of changes in one record: ten times the hourly share of 4,800 changes a day. Bounds how long one
+/// record can block the event loop.
 const MAX_CHANGES: usize = 2000;
 
-/// The last of the priorities.
+/// The lowest priority; 0 is the highest.
 const MAX_PRIORITY: u8 = 9;
 
-/// The most keys of one account: the old one, the new one, and room for a change that overlaps another.
+/// Maximum number of keys per account: the old and the new key, with room for overlapping key rotations.
 const MAX_KEYS: usize = 8;
 
-/// The largest share of one account. Shares only tell against each other, so that more adds nothing.
+/// Maximum weight of an account. Weights are relative to each other, so a larger range adds nothing.
 const MAX_WEIGHT: u32 = 1000;
 
 pub(crate) fn check_count(changes: &[Change]) -> Result<(), Rejected> {
@@ -65,11 +65,11 @@
         let found = format!("a body of the kind {}", body.kind());
         return Err(Rejected::invalid(path, found, kind.to_string()));
     }
-    check(&path, body)
+    check_body(&path, body)
 }
 
-/// Checks a document's content; `path` is where it stands.
-fn check(path: &str, body: &Body) -> Result<(), Rejected> {
+/// Checks a document's content; `path` is the document's path for error messages.
+fn check_body(path: &str, body: &Body) -> Result<(), Rejected> {
     match body {
         Body::Account(account) => check_account(path, account),
         Body::Team(_) => Ok(()),
@@ -119,13 +119,13 @@
                 let path = format!("{path}.models");
                 return Err(Rejected::invalid(path, "no model", "at least one"));
             }
-            check_amount(&format!("{path}.max_tokens"), *max_tokens)
+            check_nonzero(&format!("{path}.max_tokens"), *max_tokens)
         }
         PoolKind::Service {
             name, repeatable, ..
         } => {
             let path = format!("{path}.kind.service");
-            check_segment(&format!("{path}.name"), name)?;
+            check_service_name(&format!("{path}.name"), name)?;
             repeatable
                 .keys()
                 .try_for_each(|method| check_method(&format!("{path}.repeatable"), method))
@@ -133,16 +133,16 @@
     }
 }
 
-fn check_amount(path: &str, amount: Tokens) -> Result<(), Rejected> {
+fn check_nonzero(path: &str, amount: Tokens) -> Result<(), Rejected> {
     match amount {
         Tokens::ZERO => Err(Rejected::invalid(path, "0", "1 or more")),
         _ => Ok(()),
     }
 }
 
-fn check_segment(path: &str, name: &str) -> Result<(), Rejected> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.';
-    if (1..=64).contains(&name.len()) && name.bytes().all(plain) {
+fn check_service_name(path: &str, name: &str) -> Result<(), Rejected> {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.';
+    if (1..=64).contains(&name.len()) && name.bytes().all(is_allowed) {
         return Ok(());
     }
     let allowed = "1 to 64 letters, digits, `-`, `_` and `.`";
@@ -169,7 +169,7 @@
     ))
 }
 
-/// A label without allowed values would match nothing, which nobody means.
+/// Rejects a label without allowed values: it would match nothing, which is never intended.
 fn check_selector(path: &str, selector: &Selector) -> Result<(), Rejected> {
     match selector.0.iter().find(|(_, values)| values.is_empty()) {
         None => Ok(()),
--- a/src/config/index.rs
+++ b/src/config/index.rs
@@ -1,4 +1,4 @@
-//! What requests are looked up by.
+//! Lookup indexes for keys, service names and rules.
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -15,26 +15,26 @@
 use crate::ids::TeamId;
 use crate::key_hash::KeyHash;
 
-/// The label that tells whose request it is; each request has it.
-pub(crate) const ACCOUNT: &str = "account";
+/// The label that holds the client account's name; every request has it.
+pub(crate) const ACCOUNT_LABEL: &str = "account";
 
-/// Rules in the order in which they are tried. A sorted set, since `indexmap` has none that stays sorted at a cost that
-/// does not grow with it. It holds names alone: what the rules say stands in the documents.
-type Rules = BTreeSet<(u32, DocName)>;
+/// Rule names in evaluation order. A `BTreeSet`, since keeping an `indexmap` set sorted costs time proportional to its
+/// size. The content of the rules is in the documents.
+type RuleSet = BTreeSet<(u32, DocName)>;
 
-/// Keys, service names and the rules' order, kept beside the documents so that no request searches through them.
+/// Indexes of keys, service names and rules, so that no request scans all documents.
 ///
-/// Rules that name accounts are kept by account. With hundreds of thousands of teams there are as many rules; trying all
-/// of them for each request would take tens of milliseconds of the one thread, and so those of other accounts are not
-/// looked at.
+/// Rules that select by account are indexed by account. With hundreds of thousands of teams there are as many rules,
+/// and evaluating all of them for each request would occupy the single thread for tens of milliseconds; therefore the
+/// rules of other accounts are skipped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Index {
     keys: IndexMap<KeyHash, DocName>,
     services: IndexMap<String, DocName>,
-    common: Rules,
-    by_account: IndexMap<String, Rules>,
-    teams: IndexMap<TeamId, usize>,
-    pools: IndexMap<PoolId, usize>,
+    global_rules: RuleSet,
+    account_rules: IndexMap<String, RuleSet>,
+    team_refs: IndexMap<TeamId, usize>,
+    pool_refs: IndexMap<PoolId, usize>,
 }
 
 impl Index {
@@ -42,34 +42,35 @@
         self.keys.get(key)
     }
 
-    /// Returns the first rule that matches a request of an account.
+    /// Returns the first rule, in evaluation order, that matches a request of an account.
     pub(crate) fn route<M>(&self, account: Option<&str>, matches: M) -> Option<&DocName>
     where
         M: Fn(&DocName) -> bool,
     {
-        let own = account.and_then(|account| self.by_account.get(account));
-        let candidates = own.into_iter().chain([&self.common]);
+        let account_rules = account.and_then(|account| self.account_rules.get(account));
+        let candidates = account_rules.into_iter().chain([&self.global_rules]);
         candidates
             .filter_map(|rules| rules.iter().find(|(_, name)| matches(name)))
             .min()
             .map(|(_order, name)| name)
     }
 
-    /// Returns how many rules let a team pay.
-    pub(crate) fn team_uses(&self, team: &TeamId) -> usize {
-        self.teams.get(team).copied().unwrap_or_default()
+    /// Returns the number of rules that refer to a team.
+    pub(crate) fn team_ref_count(&self, team: &TeamId) -> usize {
+        self.team_refs.get(team).copied().unwrap_or_default()
     }
 
-    /// Returns how many rules send work to a pool.
-    pub(crate) fn pool_uses(&self, pool: &PoolId) -> usize {
-        self.pools.get(pool).copied().unwrap_or_default()
+    /// Returns the number of rules that refer to a pool.
+    pub(crate) fn pool_ref_count(&self, pool: &PoolId) -> usize {
+        self.pool_refs.get(pool).copied().unwrap_or_default()
     }
 
-    /// Adds a document that was checked by itself.
+    /// Adds a document that has already passed its own validation.
     ///
     /// # Errors
     ///
-    /// When a key or a service name stands in another document, or twice in this one; nothing is added then.
+    /// If a key or a service name is used by another document, or a key occurs twice in this one. Nothing is added
+    /// then.
     pub(crate) fn add(&mut self, name: &DocName, body: &Body) -> Result<(), Rejected> {
         match body {
             Body::Account(account) => self.add_keys(name, &account.keys),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes a document out.
+    /// Removes a document.
     pub(crate) fn remove(&mut self, name: &DocName, body: &Body) {
         match body {
             Body::Account(account) => {
@@ -104,33 +105,37 @@
     }
 
     fn add_rule(&mut self, name: &DocName, rule: &RuleSpec) {
-        *self.teams.entry(rule.team.clone()).or_default() += 1;
-        *self.pools.entry(rule.pool.clone()).or_default() += 1;
-        let place = (rule.order, name.clone());
-        let Some(accounts) = rule.when.0.get(ACCOUNT) else {
-            self.common.insert(place);
+        *self.team_refs.entry(rule.team.clone()).or_default() += 1;
+        *self.pool_refs.entry(rule.pool.clone()).or_default() += 1;
+        let entry = (rule.order, name.clone());
+        let Some(accounts) = rule.when.0.get(ACCOUNT_LABEL) else {
+            self.global_rules.insert(entry);
             return;
         };
         for account in accounts {
-            let rules = self.by_account.entry(account.clone()).or_default();
-            rules.insert(place.clone());
+            let rules = self.account_rules.entry(account.clone()).or_default();
+            rules.insert(entry.clone());
         }
     }
 
     fn remove_rule(&mut self, name: &DocName, rule: &RuleSpec) {
-        count_down(&mut self.teams, &rule.team);
-        count_down(&mut self.pools, &rule.pool);
-        let place = (rule.order, name.clone());
-        let Some(accounts) = rule.when.0.get(ACCOUNT) else {
-            self.common.remove(&place);
+        decrement(&mut self.team_refs, &rule.team);
+        decrement(&mut self.pool_refs, &rule.pool);
+        let entry = (rule.order, name.clone());
+        let Some(accounts) = rule.when.0.get(ACCOUNT_LABEL) else {
+            self.global_rules.remove(&entry);
             return;
         };
         for account in accounts {
-            if let Some(rules) = self.by_account.get_mut(account) {
-                rules.remove(&place);
+            if let Some(rules) = self.account_rules.get_mut(account) {
+                rules.remove(&entry);
             }
-            if self.by_account.get(account).is_some_and(Rules::is_empty) {
-                self.by_account.swap_remove(account);
+            if self
+                .account_rules
+                .get(account)
+                .is_some_and(RuleSet::is_empty)
+            {
+                self.account_rules.swap_remove(account);
             }
         }
     }
@@ -165,7 +170,7 @@
     }
 }
 
-fn count_down<K>(counts: &mut IndexMap<K, usize>, key: &K)
+fn decrement<K>(counts: &mut IndexMap<K, usize>, key: &K)
 where
     K: Hash + Eq,
 {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,13 +1,14 @@
-//! The configuration that operators publish: labelled documents on a stream of the log service.
+//! The configuration that operators publish: labelled documents in a stream of the log service.
 //!
-//! As with the ledger, the stream's order is the agreement, and the pure [`Config`] is what it means.
+//! As with the ledger, routers agree by applying the records in stream order. [`Config`] is the resulting state; it
+//! does no I/O.
 
+mod change_set;
 mod check;
 mod checkpoint;
 mod document;
 mod index;
 mod lookup;
-mod put;
 mod record;
 mod rejected;
 mod route;
@@ -17,6 +18,8 @@
 #[cfg(test)]
 mod tests;
 
+pub use change_set::Change;
+pub use change_set::ChangeSet;
 pub use checkpoint::Checkpoint;
 pub use document::AccountSpec;
 pub use document::Body;
@@ -27,16 +30,14 @@
 pub use document::PoolSpec;
 pub use document::RuleSpec;
 pub use document::TeamSpec;
-pub use put::Change;
-pub use put::Put;
 pub use rejected::Rejected;
 pub use route::Route;
 pub use snapshot::Document;
 pub use snapshot::Snapshot;
 pub use state::Config;
-pub(crate) use table::Intake;
+pub(crate) use table::ConnectionLimits;
 pub(crate) use table::PathRoute;
 pub(crate) use table::Payer;
-pub(crate) use table::Repeat;
+pub(crate) use table::RepeatPolicy;
 pub(crate) use table::RouteTable;
 pub(crate) use table::TablePool;
--- a/src/config/record.rs
+++ b/src/config/record.rs
@@ -1,24 +1,24 @@
-//! What stands in the configuration's stream.
+//! Records of the configuration stream.
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
+use crate::config::change_set::ChangeSet;
+use crate::config::change_set::FORMAT;
 use crate::config::checkpoint::Checkpoint;
-use crate::config::put::FORMAT;
-use crate::config::put::Put;
 use crate::config::rejected::Rejected;
 use crate::field;
 use crate::field::FieldError;
 
-/// What stands in the configuration's stream.
+/// A record of the configuration stream.
 pub(crate) enum Record {
-    /// Changes.
-    Put(Put),
-    /// All that was in force.
+    /// Changes published by an operator.
+    Changes(ChangeSet),
+    /// The whole configuration as of an earlier offset.
     Checkpoint(Checkpoint),
 }
 
-/// What tells records apart, and is the same in all formats.
+/// The fields that distinguish records, common to all formats.
 #[derive(Deserialize)]
 struct Envelope {
     format: u32,
@@ -26,11 +26,11 @@
 }
 
 impl Record {
-    /// Reads a record.
+    /// Parses a record.
     ///
     /// # Errors
     ///
-    /// [`Rejected::Unreadable`] when the bytes are no record of this format.
+    /// [`Rejected::Unreadable`] if the bytes are not a record of this format.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Self, Rejected> {
         let envelope: Envelope = field::read_json(bytes).map_err(Rejected::Unreadable)?;
         let format = envelope.format;
@@ -39,7 +39,7 @@
             return Err(Rejected::Unreadable(error));
         }
         let record = match envelope.checkpoint {
-            None => field::read_json(bytes).map(Self::Put),
+            None => field::read_json(bytes).map(Self::Changes),
             Some(_) => field::read_json(bytes).map(Self::Checkpoint),
         };
         record.map_err(Rejected::Unreadable)
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -1,14 +1,14 @@
-//! The fold: what each record of the configuration's stream does.
+//! The configuration as a state machine: applies the records of the configuration stream.
 
 use indexmap::IndexMap;
 
+use crate::config::change_set::Change;
+use crate::config::change_set::ChangeSet;
 use crate::config::check;
 use crate::config::document::Body;
 use crate::config::document::Kind;
 use crate::config::document::RuleSpec;
 use crate::config::index::Index;
-use crate::config::put::Change;
-use crate::config::put::Put;
 use crate::config::record::Record;
 use crate::config::rejected::Rejected;
 use crate::config::snapshot::Document;
@@ -22,61 +22,61 @@
 /// The configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Config {
-    next: Offset,
+    next_offset: Offset,
     version: Version,
     skipped: u64,
     rejected: u64,
-    checkpoint: Option<Offset>,
+    last_checkpoint: Option<Offset>,
     pub(super) documents: IndexMap<DocKey, Document>,
     pub(super) index: Index,
 }
 
 impl Config {
-    /// Returns the offset of the next record that it wants.
-    pub fn next(&self) -> Offset {
-        self.next
+    /// Returns the offset of the next record to apply.
+    pub fn next_offset(&self) -> Offset {
+        self.next_offset
     }
 
-    /// Returns the version of the last accepted record: its offset and one, or 0 where there was none.
+    /// Returns the version of the last accepted record: its offset plus one, or 0 if there is none.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns how many records it could not read.
+    /// Returns the number of unreadable records.
     pub fn skipped(&self) -> u64 {
         self.skipped
     }
 
-    /// Returns how many records it read and did not accept.
+    /// Returns the number of readable records that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Returns the offset of the last checkpoint that it met. Before the log lets that one go, another is due.
-    pub fn checkpointed(&self) -> Option<Offset> {
-        self.checkpoint
+    /// Returns the offset of the last checkpoint applied. A new one must be published before the log expires it.
+    pub fn last_checkpoint(&self) -> Option<Offset> {
+        self.last_checkpoint
     }
 
-    /// Folds one record; one that it has folded before changes nothing.
+    /// Applies one record. A record that was already applied is ignored.
     ///
     /// # Errors
     ///
-    /// When the record is not accepted; the configuration in force stays as it is, whole.
+    /// If the record is not accepted. The configuration in force is unchanged then.
     pub fn apply(&mut self, offset: Offset, bytes: &[u8]) -> Result<(), Rejected> {
-        if offset < self.next {
+        if offset < self.next_offset {
             return Ok(());
         }
-        if offset > self.next {
-            let next = self.next;
+        if offset > self.next_offset {
+            let next = self.next_offset;
             return Err(Rejected::Gap {
                 next,
                 found: offset,
             });
         }
-        self.next = Offset(offset.0 + 1);
+        self.next_offset = Offset(offset.0 + 1);
         let outcome = Record::parse(bytes).and_then(|record| match record {
-            Record::Put(put) => self.put(Version(offset.0 + 1), put),
-            Record::Checkpoint(checkpoint) => self.checkpoint(offset, &checkpoint.checkpoint),
+            Record::Changes(change_set) => self.apply_changes(Version(offset.0 + 1), change_set),
+            Record::Checkpoint(checkpoint) => self.apply_checkpoint(offset, &checkpoint.checkpoint),
         });
         match &outcome {
             Ok(()) => {}
@@ -86,15 +86,15 @@
         outcome
     }
 
-    /// Takes over a record that is a checkpoint and ahead, and returns whether it was.
+    /// Adopts the record if it is a checkpoint newer than the current state, and returns whether it did.
     ///
-    /// This is for a router that finds the beginning of the stream gone, and no other router to ask: it hands on what
-    /// the log still keeps, from the first record on, until a checkpoint is taken, and then reads on from
-    /// [`Config::next`].
+    /// Used by a router that finds the start of the stream expired and has no other router to ask. It passes the
+    /// remaining records, from the first one on, until a checkpoint is adopted, and then continues from
+    /// [`Config::next_offset`].
     ///
     /// # Errors
     ///
-    /// When the checkpoint is not sound.
+    /// If the checkpoint is invalid.
     pub fn resume(&mut self, offset: Offset, bytes: &[u8]) -> Result<bool, Rejected> {
         match Record::parse(bytes) {
             Ok(Record::Checkpoint(checkpoint)) => {
@@ -109,86 +109,89 @@
         }
     }
 
-    /// Returns the whole configuration as a message; the same records give the same one.
+    /// Returns a snapshot of the configuration. It is deterministic: the same records give the same snapshot.
     pub fn snapshot(&self) -> Snapshot {
         let mut documents: Vec<_> = self.documents.values().cloned().collect();
         documents.sort_by(|a, b| (a.kind, &a.name).cmp(&(b.kind, &b.name)));
         Snapshot {
-            next: self.next,
+            next: self.next_offset,
             version: self.version,
             documents,
         }
     }
 
-    /// Takes over a configuration that another router folded, where it is ahead, and returns whether it was.
+    /// Adopts another router's snapshot if it is newer than the current state, and returns whether it did.
     ///
-    /// A message that was held up on the way brings an old configuration. Taking it would revert one that is in force;
-    /// so nothing counts that is not ahead.
+    /// A delayed message may carry an old configuration, and adopting it would revert the one in force. Snapshots that
+    /// are not newer are therefore ignored.
     ///
     /// # Errors
     ///
-    /// When it is not sound, as when a later version of the program wrote it; the one in force stays.
+    /// If the snapshot is invalid, for example written by a later program version. The configuration in force is
+    /// unchanged then.
     pub fn adopt(&mut self, snapshot: Snapshot) -> Result<bool, Rejected> {
-        if snapshot.next <= self.next || snapshot.version < self.version {
+        if snapshot.next <= self.next_offset || snapshot.version < self.version {
             return Ok(false);
         }
-        *self = self.ahead(snapshot)?;
+        *self = self.build_from(snapshot)?;
         Ok(true)
     }
 
-    /// Builds the state that a snapshot tells of, beside the one in force.
-    fn ahead(&self, snapshot: Snapshot) -> Result<Self, Rejected> {
+    /// Builds a state from a snapshot without modifying the one in force.
+    fn build_from(&self, snapshot: Snapshot) -> Result<Self, Rejected> {
         check_version("version", snapshot.version, snapshot.next.0)?;
-        let mut ahead = Self {
-            next: snapshot.next,
+        let mut restored = Self {
+            next_offset: snapshot.next,
             version: snapshot.version,
             skipped: self.skipped,
             rejected: self.rejected,
-            checkpoint: self.checkpoint,
+            last_checkpoint: self.last_checkpoint,
             ..Self::default()
         };
         for document in snapshot.documents {
             let (kind, name) = (document.kind, document.name.clone());
             check::check_document(kind, &name, &document.body)?;
             check_version("documents", document.version, snapshot.version.0)?;
-            ahead.index.add(&name, &document.body)?;
-            ahead.documents.insert((kind, name), document);
+            restored.index.add(&name, &document.body)?;
+            restored.documents.insert((kind, name), document);
         }
-        ahead.documents().try_for_each(|d| match &d.body {
-            Body::Rule(rule) => ahead.check_rule(&d.name, rule),
+        restored.documents().try_for_each(|d| match &d.body {
+            Body::Rule(rule) => restored.check_rule(&d.name, rule),
             _ => Ok(()),
         })?;
-        Ok(ahead)
+        Ok(restored)
     }
 
-    fn put(&mut self, version: Version, put: Put) -> Result<(), Rejected> {
-        self.check_bases(&put.changes)?;
-        put.check()?;
-        let before = self.replace(version, &put.changes);
-        let (entered, outcome) = self.enter(&put.changes);
-        let outcome = outcome.and_then(|()| self.check_references(&put.changes));
+    fn apply_changes(&mut self, version: Version, change_set: ChangeSet) -> Result<(), Rejected> {
+        self.check_bases(&change_set.changes)?;
+        change_set.check()?;
+        let replaced = self.replace_documents(version, &change_set.changes);
+        let (indexed, outcome) = self.index_documents(&change_set.changes);
+        let outcome = outcome.and_then(|()| self.check_references(&change_set.changes));
         match outcome {
             Ok(()) => self.version = version,
-            Err(_) => self.restore(&put.changes[..entered], before),
+            Err(_) => self.roll_back(&change_set.changes[..indexed], replaced),
         }
         outcome
     }
 
-    /// Checks a checkpoint, which changes nothing for those who have read all before it.
+    /// Validates a checkpoint and records its offset. The documents stay unchanged, since all earlier records have been
+    /// applied.
     ///
-    /// One that differs from what is in force comes from a router whose fold is not the same. Whoever starts from it
-    /// would route otherwise than the others do; to count it as rejected shows that in each router's dump.
-    fn checkpoint(&mut self, offset: Offset, checkpoint: &Snapshot) -> Result<(), Rejected> {
+    /// A checkpoint that differs from the configuration in force comes from a router whose state has diverged, and a
+    /// router that started from it would route differently from the others. Counting it as rejected makes the
+    /// divergence visible in each router's state dump.
+    fn apply_checkpoint(&mut self, offset: Offset, checkpoint: &Snapshot) -> Result<(), Rejected> {
         check_version("checkpoint.next", Version(checkpoint.next.0), offset.0)?;
-        if checkpoint.version == self.version && !self.equals(&checkpoint.documents) {
+        if checkpoint.version == self.version && !self.has_same_documents(&checkpoint.documents) {
             let allowed = format!("the documents of version {}", self.version);
             return Err(Rejected::invalid("checkpoint.documents", "others", allowed));
         }
-        self.checkpoint = Some(offset);
+        self.last_checkpoint = Some(offset);
         Ok(())
     }
 
-    fn equals(&self, documents: &[Document]) -> bool {
+    fn has_same_documents(&self, documents: &[Document]) -> bool {
         let same = |document: &Document| {
             let key = (document.kind, document.name.clone());
             self.documents.get(&key) == Some(document)
@@ -196,8 +199,10 @@
         documents.len() == self.documents.len() && documents.iter().all(same)
     }
 
-    /// Of two operators who change the same document, the one whose record lies first in the log wins; the other's
-    /// names a version that is no longer in force. Without this, the second would undo the first unawares.
+    /// Checks that each change is based on the version in force.
+    ///
+    /// If two operators change the same document, the record that is first in the log wins; the other one refers to a
+    /// version that is no longer in force. Without this check, the second would silently overwrite the first.
     fn check_bases(&self, changes: &[Change]) -> Result<(), Rejected> {
         for change in changes {
             let current = self.version_of(change.kind, &change.name);
@@ -213,9 +218,13 @@
         Ok(())
     }
 
-    /// Replaces the documents, and returns those that stood there before.
-    fn replace(&mut self, version: Version, changes: &[Change]) -> Vec<(DocKey, Option<Document>)> {
-        let mut before = Vec::with_capacity(changes.len());
+    /// Replaces the changed documents, removes the old ones from the index, and returns the old ones.
+    fn replace_documents(
+        &mut self,
+        version: Version,
+        changes: &[Change],
+    ) -> Vec<(DocKey, Option<Document>)> {
+        let mut replaced = Vec::with_capacity(changes.len());
         for change in changes {
             let key = (change.kind, change.name.clone());
             let old = self.documents.swap_remove(&key);
@@ -228,18 +237,18 @@
                 };
                 self.documents.insert(key.clone(), document);
             }
-            before.push((key, old));
+            replaced.push((key, old));
         }
-        for ((_, name), old) in &before {
+        for ((_, name), old) in &replaced {
             if let Some(old) = old {
                 self.index.remove(name, &old.body);
             }
         }
-        before
+        replaced
     }
 
-    /// Brings the index up to date, and returns how many changes it has taken.
-    fn enter(&mut self, changes: &[Change]) -> (usize, Result<(), Rejected>) {
+    /// Adds the changed documents to the index, and returns the number of changes processed before an error.
+    fn index_documents(&mut self, changes: &[Change]) -> (usize, Result<(), Rejected>) {
         for (at, change) in changes.iter().enumerate() {
             let Some(body) = &change.body else {
                 continue;
@@ -257,16 +266,16 @@
             .try_for_each(|change| self.check_reference(change))
     }
 
-    /// Checks that what the changed document refers to exists, and that nothing refers to a document that went.
+    /// Checks that what the changed document refers to exists, and that no rule refers to a deleted document.
     fn check_reference(&self, change: &Change) -> Result<(), Rejected> {
         let name = &change.name;
         match (&change.body, change.kind) {
             (Some(Body::Rule(rule)), _) => self.check_rule(name, rule),
             (None, Kind::Team) => check_unused(change, name.as_str().parse().ok(), |team| {
-                self.index.team_uses(team)
+                self.index.team_ref_count(team)
             }),
             (None, Kind::Pool) => check_unused(change, name.as_str().parse().ok(), |pool| {
-                self.index.pool_uses(pool)
+                self.index.pool_ref_count(pool)
             }),
             _ => Ok(()),
         }
@@ -286,29 +295,30 @@
         Ok(())
     }
 
-    /// Undoes a replacement of which the index had taken the changes in `entered`.
+    /// Rolls back a replacement whose changes in `indexed` had been added to the index.
     ///
-    /// It undoes just these: to build the index anew would hold up every router at once, for as long as there are
-    /// documents, whenever an operator makes a mistake.
-    fn restore(&mut self, entered: &[Change], before: Vec<(DocKey, Option<Document>)>) {
-        for change in entered {
+    /// It reverts only these changes. Rebuilding the index takes time proportional to the number of documents and would
+    /// block all routers at once whenever an operator publishes an invalid change.
+    fn roll_back(&mut self, indexed: &[Change], replaced: Vec<(DocKey, Option<Document>)>) {
+        for change in indexed {
             if let Some(body) = &change.body {
                 self.index.remove(&change.name, body);
             }
         }
-        for (key, old) in before {
+        for (key, old) in replaced {
             let Some(old) = old else {
                 self.documents.swap_remove(&key);
                 continue;
             };
-            // It was in force before, so there is nothing to tell.
+            // The document was in force before, so adding it cannot fail.
             let _ = self.index.add(&key.1, &old.body);
             self.documents.insert(key, old);
         }
     }
 }
 
-/// Versions grow with the log: none is above the offset after the last record that was folded.
+/// Checks a version against an upper bound: versions derive from offsets, so none exceeds the offset after the last
+/// applied record.
 fn check_version(path: &str, version: Version, max: u64) -> Result<(), Rejected> {
     if version.0 <= max {
         return Ok(());
@@ -317,11 +327,11 @@
     Err(Rejected::invalid(path, version.to_string(), allowed))
 }
 
-fn check_unused<I, U>(change: &Change, id: Option<I>, uses: U) -> Result<(), Rejected>
+fn check_unused<I, U>(change: &Change, id: Option<I>, ref_count: U) -> Result<(), Rejected>
 where
     U: Fn(&I) -> usize,
 {
-    match id.map_or(0, |id| uses(&id)) {
+    match id.map_or(0, |id| ref_count(&id)) {
         0 => Ok(()),
         count => Err(Rejected::invalid(
             format!("{}/{}", change.kind, change.name),
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -302,7 +302,7 @@
             .config_sent
             .get(&beat.vm)
             .is_some_and(|at| now < *at + Duration::from_secs(1));
-        if beat.config >= self.config.next() || recent {
+        if beat.config >= self.config.next_offset() || recent {
             return;
         }
         let Some(peer) = self.members.vm_index.peer(&beat.vm).cloned() else {
@@ -320,7 +320,7 @@
             router: self.me,
             serving: self.is_serving(),
             load: self.load(),
-            config: self.config.next(),
+            config: self.config.next_offset(),
             table: self.table_version(),
             drained: self.drained_domains.clone(),
             clock: self.tuning.clock.at(now).wall,
