--- a/src/router/budget_status.rs
+++ b/src/router/budget_status.rs
@@ -21,15 +21,15 @@
         why: Unfunded,
     ) {
         info!(event = "unfunded", %request, ?why, failures = self.failures);
-        let Some(allowance) = self.budgets.get(team) else {
+        let Some(budget) = self.budgets.get(team) else {
             return;
         };
         let rest = self.remainder(now, team);
         info!(
-            event = "budget", %request, %team, prepaid = %allowance.prepaid, granted = %self.book.granted(team),
-            reserved = %allowance.reserved, spent = %allowance.spent,
+            event = "budget", %request, %team, prepaid = %budget.prepaid, granted = %self.book.granted(team),
+            reserved = %budget.reserved, spent = %budget.spent,
             elsewhere = %self.book.granted_to_others(team), spent_elsewhere = %self.book.spent_by_others(team),
-            undrawn = %self.book.undrawn(team, allowance.prepaid), in_reach = %rest.left,
+            undrawn = %self.book.undrawn(team, budget.prepaid), in_reach = %rest.left,
             demand = rest.demand as u64, lasts_ms = rest.lasts.as_millis() as u64,
             age_ms = self.log_answer_age(now),
         );
@@ -37,19 +37,19 @@
 
     /// Returns the budgets for the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Value {
-        let budgets = self.budgets.iter().map(|(team, allowance)| {
+        let budgets = self.budgets.iter().map(|(team, budget)| {
             json!({
                 "team": team,
-                "prepaid": allowance.prepaid,
+                "prepaid": budget.prepaid,
                 "granted_here": self.book.granted(team),
-                "reserved_here": allowance.reserved,
-                "spent_here": allowance.spent,
-                "lent": allowance.loans.lent(),
-                "borrowed": allowance.loans.borrowed(),
+                "reserved_here": budget.reserved,
+                "spent_here": budget.spent,
+                "lent": budget.loans.lent(),
+                "borrowed": budget.loans.borrowed(),
                 "granted_elsewhere": self.book.granted_to_others(team),
                 "spent_elsewhere_at_least": self.book.spent_by_others(team),
-                "undrawn": self.book.undrawn(team, allowance.prepaid),
-                "waiting": allowance.waiting.len(),
+                "undrawn": self.book.undrawn(team, budget.prepaid),
+                "waiting": budget.waiting.len(),
             })
         });
         json!({
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -93,8 +93,8 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if let Some(purse) = self.ledger_budgets.get_mut(&request.team) {
-            purse.end_debit(request.reserve);
+        if let Some(budget) = self.ledger_budgets.get_mut(&request.team) {
+            budget.end_debit(request.reserve);
         }
         match verdict {
             Verdict::Accepted => {
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -116,33 +116,33 @@
             return Vec::new();
         }
         let made = self.clock.reading(now);
-        let changes = self.budgets.iter().filter_map(|(team, allowance)| {
+        let changes = self.budgets.iter().filter_map(|(team, budget)| {
             let old = self.book.granted(team);
-            let granted = self.target_grant(now, team, allowance);
+            let granted = self.target_grant(now, team, budget);
             // Returning unused budget along with every call made for another team's request would take up most of the
             // partition's throughput.
-            let is_surplus = granted < old && allowance.waiting.is_empty();
+            let is_surplus = granted < old && budget.waiting.is_empty();
             if is_surplus && !due && !self.is_needed_elsewhere(team) {
                 return None;
             }
-            let opening = self.opening(now, team, allowance, granted);
+            let opening = self.opening(now, team, budget, granted);
             let pace = SpendPace {
                 made: made.own,
-                used: allowance.in_use(),
-                room: allowance.wanted().saturating_add(opening.burst),
+                used: budget.in_use(),
+                room: budget.wanted().saturating_add(opening.burst),
                 rate: opening.rate,
                 fleet: made.fleet,
             };
             let renewed = match due {
-                true => self.is_outdated(now, team, allowance, &pace),
-                false => allowance.wanted() > self.available(now, team),
+                true => self.is_outdated(now, team, budget, &pace),
+                false => budget.wanted() > self.available(now, team),
             };
             let row = GrantRow {
                 granted,
-                spent: self.reported_spent(allowance),
+                spent: self.reported_spent(budget),
                 pace: Some(pace),
             };
-            let covered = allowance.wanted() <= self.held(team);
+            let covered = budget.wanted() <= self.held(team);
             let change = granted != old || renewed && (due || covered);
             change.then(|| GrantChange {
                 team: team.clone(),
@@ -154,42 +154,40 @@
 
     /// Returns how much of a grant is reported to other routers as spent. What an owner lends is spent by routers that
     /// write no grants themselves. If every router owns every budget, each borrower reports its own spending.
-    fn reported_spent(&self, allowance: &GrantBudget) -> Tokens {
+    fn reported_spent(&self, budget: &GrantBudget) -> Tokens {
         match self.ownership.is_owned_by_all() {
-            true => allowance.spent,
-            false => allowance.net_spent(),
+            true => budget.spent,
+            false => budget.net_spent(),
         }
     }
 
     /// Returns what a grant should be according to the policy.
-    fn target_grant(&self, now: Instant, team: &TeamId, allowance: &GrantBudget) -> Tokens {
+    fn target_grant(&self, now: Instant, team: &TeamId, budget: &GrantBudget) -> Tokens {
         let granted = self.book.granted(team);
         let free = self.held(team);
         if self.is_owned_elsewhere(now, team) {
             return granted - free.min(granted);
         }
-        if self.stay != StopPhase::Running && allowance.waiting.is_empty() {
-            let kept = self.kept_on_stop(now, allowance);
+        if self.stay != StopPhase::Running && budget.waiting.is_empty() {
+            let kept = self.kept_on_stop(now, budget);
             return granted - free.saturating_sub(kept).min(granted);
         }
         let share = BudgetView {
             free,
-            claimed: allowance.reserved,
-            undrawn: self.book.undrawn(team, allowance.prepaid),
+            claimed: budget.reserved,
+            undrawn: self.book.undrawn(team, budget.prepaid),
             routers: self.sharer_count(team),
-            demand: allowance.rate(now),
-            team_demand: allowance.rate(now) + self.peer_budgets.demand(team),
-            wanted: allowance.wanted(),
+            demand: budget.rate(now),
+            team_demand: budget.rate(now) + self.peer_budgets.demand(team),
+            wanted: budget.wanted(),
             reachable: true,
         };
         match self.policy.decide(&share) {
-            HoldingAction::Draw(amount) if !allowance.is_negligible(amount) => granted + amount,
-            HoldingAction::Return(_)
-                if allowance.waiting.is_empty() && self.limits_log_writes() =>
-            {
-                granted - self.amount_to_return(allowance, share).min(granted)
+            HoldingAction::Draw(amount) if !budget.is_negligible(amount) => granted + amount,
+            HoldingAction::Return(_) if budget.waiting.is_empty() && self.limits_log_writes() => {
+                granted - self.amount_to_return(budget, share).min(granted)
             }
-            HoldingAction::Return(amount) if !allowance.is_negligible(amount) => {
+            HoldingAction::Return(amount) if !budget.is_negligible(amount) => {
                 granted - amount.min(free).min(granted)
             }
             HoldingAction::Draw(_) | HoldingAction::Return(_) | HoldingAction::None => granted,
@@ -198,11 +196,11 @@
 
     /// Returns the total of the policy's successive returns for a budget without waiting requests here. It combines all
     /// steps that no draw would follow into one write.
-    fn amount_to_return(&self, allowance: &GrantBudget, mut share: BudgetView) -> Tokens {
+    fn amount_to_return(&self, budget: &GrantBudget, mut share: BudgetView) -> Tokens {
         let mut returned = Tokens::ZERO;
         while let HoldingAction::Return(amount) = self.policy.decide(&share) {
             let amount = amount.min(share.free);
-            if allowance.is_negligible(amount) {
+            if budget.is_negligible(amount) {
                 break;
             }
             let next = BudgetView {
@@ -220,10 +218,10 @@
     }
 
     /// Returns what a stopping router keeps beyond what is in use.
-    fn kept_on_stop(&self, now: Instant, allowance: &GrantBudget) -> Tokens {
+    fn kept_on_stop(&self, now: Instant, budget: &GrantBudget) -> Tokens {
         match self.stay {
             StopPhase::WindingDown => {
-                Tokens((allowance.rate(now) * WIND_DOWN_COVER.as_secs_f64()) as u64)
+                Tokens((budget.rate(now) * WIND_DOWN_COVER.as_secs_f64()) as u64)
             }
             StopPhase::Running | StopPhase::Releasing => Tokens::ZERO,
         }
@@ -234,12 +232,12 @@
         &self,
         now: Instant,
         team: &TeamId,
-        allowance: &GrantBudget,
+        budget: &GrantBudget,
         granted: Tokens,
     ) -> ReleaseLimit {
         let drawn = granted.saturating_sub(self.book.granted(team));
         let held = self.held(team).saturating_add(drawn);
-        let flow = allowance.outflow_rate(now).min(allowance.rate(now));
+        let flow = budget.outflow_rate(now).min(budget.rate(now));
         decide::release_limit(flow, held, DEMAND_COVER)
     }
 
@@ -251,7 +249,7 @@
         &self,
         now: Instant,
         team: &TeamId,
-        allowance: &GrantBudget,
+        budget: &GrantBudget,
         new: &SpendPace,
     ) -> bool {
         let row = self.book.row(team);
@@ -262,7 +260,7 @@
         let rate_changed = rate > old.rate.0 as f64 * MIN_RATE_CHANGE;
         let open = self.book.usable_at(team, &self.clock.own_reading(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
-        let stale = opened > new.rate.over(MAX_OPENING_TIME) && allowance.is_worth_writing(opened);
+        let stale = opened > new.rate.over(MAX_OPENING_TIME) && budget.is_worth_writing(opened);
         row.granted > new.used.min(old.used) && (old.used != new.used || rate_changed || stale)
     }
 }
--- a/src/router/ledger_stream.rs
+++ b/src/router/ledger_stream.rs
@@ -86,15 +86,15 @@
                 team,
                 credit,
             } => {
-                if let Some(purse) = self.ledger_budgets.get_mut(&team) {
-                    purse.end_credit(credit);
+                if let Some(budget) = self.ledger_budgets.get_mut(&team) {
+                    budget.end_credit(credit);
                 }
                 self.bill_verdict(now, request, &verdict);
             }
             Ticket::Draw(team) => self.handle_draw_verdict(now, &team, &verdict),
             Ticket::Return(team, amount) => {
-                if let Some(purse) = self.ledger_budgets.get_mut(&team) {
-                    purse.end_debit(amount);
+                if let Some(budget) = self.ledger_budgets.get_mut(&team) {
+                    budget.end_debit(amount);
                 }
             }
             Ticket::TopUp(id, _) => self.answer_top_up(id, &verdict),
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -39,28 +39,25 @@
                 continue;
             }
             let left = self.max_left(&team);
-            let allowance = &mut self.budgets[&team];
-            let needed = allowance.own_wanted();
+            let budget = &mut self.budgets[&team];
+            let needed = budget.own_wanted();
             if needed == Tokens::ZERO {
                 continue;
             }
-            let waiting_since = allowance
-                .waiting
-                .front()
-                .map_or(now, |waiting| waiting.since);
+            let waiting_since = budget.waiting.front().map_or(now, |waiting| waiting.since);
             // If the log answers at all, it grants undrawn budget within some milliseconds.
             if log_may_help && now < waiting_since + LOAN_DELAY {
                 continue;
             }
-            let ahead = Tokens((allowance.own_rate(now) * LOAN_COVER.as_secs_f64()) as u64);
+            let ahead = Tokens((budget.own_rate(now) * LOAN_COVER.as_secs_f64()) as u64);
             let need = LoanNeed {
                 amount: needed.saturating_add(ahead).min(left),
-                total_demand: allowance.asked,
-                priority: allowance.most_urgent(),
+                total_demand: budget.asked,
+                priority: budget.most_urgent(),
             };
             let lenders = self.peer_budgets.lenders(&team);
             effects.extend(
-                allowance
+                budget
                     .loans
                     .request_from_peer(now, me, &team, need, lenders),
             );
@@ -74,7 +71,7 @@
         let is_responsive = |peer: &Peer| !ownership.is_unresponsive(now, &peer.vm);
         let budgets = self.budgets.values_mut();
         budgets
-            .filter_map(|allowance| allowance.loans.retry(now, is_responsive))
+            .filter_map(|budget| budget.loans.retry(now, is_responsive))
             .collect()
     }
 
@@ -106,16 +103,16 @@
     /// Adds what another router transferred.
     pub(crate) fn receive_transfer(&mut self, gift: &BudgetTransfer) {
         info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
-        if let Some(allowance) = self.budgets.get_mut(&gift.team) {
-            allowance.loans.receive(gift);
+        if let Some(budget) = self.budgets.get_mut(&gift.team) {
+            budget.loans.receive(gift);
         }
     }
 
     /// Notes that another router confirmed a transfer, or that its outcome is unknown.
     pub(crate) fn finish_transfer(&mut self, gift: &BudgetTransfer, taken: bool) {
         info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
-        if let Some(allowance) = self.budgets.get_mut(&gift.team) {
-            allowance.loans.finish_transfer();
+        if let Some(budget) = self.budgets.get_mut(&gift.team) {
+            budget.loans.finish_transfer();
         }
     }
 
@@ -131,16 +128,16 @@
     /// Lends idle budget of a team whose budget every router keeps for itself.
     fn lend_idle(&mut self, now: Instant, ask: &LoanRequest) -> Tokens {
         let free = self.available(now, &ask.team);
-        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
+        let Some(budget) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
-        let keep = Tokens((allowance.rate(now) * OWN_COVER.as_secs_f64()) as u64);
+        let keep = Tokens((budget.rate(now) * OWN_COVER.as_secs_f64()) as u64);
         let spare = free.saturating_sub(keep).max(Tokens(free.0 / 2));
-        let spare = match allowance.waiting.is_empty() {
+        let spare = match budget.waiting.is_empty() {
             true => spare,
             false => Tokens::ZERO,
         };
-        allowance.loans.lend(ask, spare)
+        budget.loans.lend(ask, spare)
     }
 
     /// Records the answer of another router to a loan request, or that none came.
@@ -151,8 +148,8 @@
         amount: Option<Tokens>,
     ) {
         info!(event = "borrowed", number = ask.number, team = %ask.team, asked = %ask.amount, amount = ?amount.map(|a| a.0));
-        if let Some(allowance) = self.budgets.get_mut(&ask.team) {
-            let lender = allowance.loans.record_answer(now, ask, amount);
+        if let Some(budget) = self.budgets.get_mut(&ask.team) {
+            let lender = budget.loans.record_answer(now, ask, amount);
             if let Some(peer) = lender.filter(|_| amount.is_none()) {
                 self.ownership.mark_unresponsive(now, &peer);
             }
@@ -163,10 +160,10 @@
     pub(crate) fn budget_report(&self, now: Instant) -> Vec<TeamBudget> {
         let owned = self.budgets.iter();
         let owned = owned.filter(|(team, _)| self.ownership.owners(team).is_empty());
-        let budgets = owned.map(|(team, allowance)| TeamBudget {
+        let budgets = owned.map(|(team, budget)| TeamBudget {
             team: team.clone(),
             free: self.held(team),
-            demand: allowance.rate(now) as u64,
+            demand: budget.rate(now) as u64,
         });
         budgets
             .filter(|budget| budget.free > Tokens::ZERO || budget.demand > 0)
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -54,17 +54,17 @@
             return None;
         }
         let left = self.max_left(team);
-        let allowance = &mut self.budgets[team];
+        let budget = &mut self.budgets[team];
         // With long round trips, each further request would otherwise wait just as long for a loan of its own.
-        let ahead = (allowance.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
-        let ahead = allowance.own_rate(now) * ahead.as_secs_f64();
+        let ahead = (budget.loans.round_trip() * ROUND_TRIPS_AHEAD).min(OWN_COVER);
+        let ahead = budget.own_rate(now) * ahead.as_secs_f64();
         let need = LoanNeed {
             amount: missing.saturating_add(Tokens(ahead as u64)).min(left),
-            total_demand: allowance.asked,
-            priority: allowance.most_urgent(),
+            total_demand: budget.asked,
+            priority: budget.most_urgent(),
         };
         let owners = self.ownership.responsive_owners(now, team);
-        allowance
+        budget
             .loans
             .request_from_owner(now, me, team, need, &owners)
     }
@@ -72,8 +72,8 @@
     /// Marks a team whose remaining budget here would run out before a loan arrives.
     pub(super) fn mark_low(&mut self, now: Instant, team: &TeamId, remaining: Tokens) {
         let borrows = !self.ownership.owners(team).is_empty();
-        let allowance = &self.budgets[team];
-        if borrows && remaining < allowance.loan_demand(now) && allowance.waiting.is_empty() {
+        let budget = &self.budgets[team];
+        if borrows && remaining < budget.loan_demand(now) && budget.waiting.is_empty() {
             self.low_teams.insert(team.clone());
         }
     }
@@ -85,20 +85,20 @@
             let left = self.max_left(&team);
             let remaining = self.available(now, &team);
             let owners = self.ownership.responsive_owners(now, &team);
-            let allowance = &mut self.budgets[&team];
-            let demand = allowance.loan_demand(now);
+            let budget = &mut self.budgets[&team];
+            let demand = budget.loan_demand(now);
             let target = demand.saturating_add(demand);
             let amount = target.saturating_sub(remaining).min(left);
-            if amount == Tokens::ZERO || !allowance.waiting.is_empty() {
+            if amount == Tokens::ZERO || !budget.waiting.is_empty() {
                 continue;
             }
             let need = LoanNeed {
                 amount,
-                total_demand: allowance.asked,
+                total_demand: budget.asked,
                 priority: LEAST_URGENT,
             };
             effects.extend(
-                allowance
+                budget
                     .loans
                     .request_from_owner(now, me, &team, need, &owners),
             );
@@ -120,18 +120,18 @@
         let teams: Vec<_> = self.budgets.keys().cloned().collect();
         let mut effects = Vec::new();
         for team in teams {
-            let allowance = &self.budgets[&team];
-            let borrowed = allowance.loans.borrowed() > allowance.loans.lent();
-            if !borrowed || !allowance.waiting.is_empty() {
+            let budget = &self.budgets[&team];
+            let borrowed = budget.loans.borrowed() > budget.loans.lent();
+            if !borrowed || !budget.waiting.is_empty() {
                 continue;
             }
-            let kept = Tokens((allowance.own_rate(now) * OWN_COVER.as_secs_f64()) as u64);
+            let kept = Tokens((budget.own_rate(now) * OWN_COVER.as_secs_f64()) as u64);
             let idle = self.available(now, &team);
             let owners = self.ownership.responsive_owners(now, &team);
-            let allowance = &mut self.budgets[&team];
+            let budget = &mut self.budgets[&team];
             if idle > kept {
                 effects.extend(
-                    allowance
+                    budget
                         .loans
                         .transfer_to_owner(now, me, &team, idle, &owners),
                 );
@@ -143,8 +143,8 @@
     /// Returns whether other routers own a team's budget and one of them may be asked for a loan.
     pub(super) fn is_owned_elsewhere(&self, now: Instant, team: &TeamId) -> bool {
         let owners = self.ownership.responsive_owners(now, team);
-        let allowance = self.budgets.get(team);
-        allowance.is_some_and(|allowance| allowance.loans.can_request_from_owner(now, &owners))
+        let budget = self.budgets.get(team);
+        budget.is_some_and(|budget| budget.loans.can_request_from_owner(now, &owners))
     }
 
     /// Lends from a budget that this router owns. Borrowers' requests are served like its own.
@@ -157,27 +157,27 @@
         let open = self.available_to(now, &ask.team, ask.priority);
         let remainder = self.remainder(now, &ask.team);
         let log_failing = self.failures > 0;
-        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
+        let Some(budget) = self.budgets.get_mut(&ask.team) else {
             return Some(Tokens::ZERO);
         };
-        if let Some(answer) = allowance.loans.previous_answer(ask) {
+        if let Some(answer) = budget.loans.previous_answer(ask) {
             return Some(answer);
         }
-        allowance.record_loan_demand(now, ask, TEAM_OWNERS as u64);
-        if allowance.join_waiting(id, ask) {
+        budget.record_loan_demand(now, ask, TEAM_OWNERS as u64);
+        if budget.join_waiting(id, ask) {
             return None;
         }
-        if !allowance
+        if !budget
             .ration
             .admits(now, &remainder, ask.priority, ask.amount)
         {
             return Some(Tokens::ZERO);
         }
-        let is_first = allowance.waiting.is_empty();
+        let is_first = budget.waiting.is_empty();
         if log_failing || is_first && open >= ask.amount {
             return Some(self.lend_open(now, ask));
         }
-        allowance.waiting.push_back(Waiting {
+        budget.waiting.push_back(Waiting {
             who: Waiter::Loan(vec![id], ask.clone()),
             amount: ask.amount,
             priority: ask.priority,
@@ -189,14 +189,14 @@
     /// Lends as much of the requested amount as is open now. Another owner may have the remainder.
     pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanRequest) -> Tokens {
         let open = self.available_to(now, &ask.team, ask.priority);
-        let Some(allowance) = self.budgets.get_mut(&ask.team) else {
+        let Some(budget) = self.budgets.get_mut(&ask.team) else {
             return Tokens::ZERO;
         };
-        if let Some(answer) = allowance.loans.previous_answer(ask) {
+        if let Some(answer) = budget.loans.previous_answer(ask) {
             return answer;
         }
-        let lent = allowance.loans.lend(ask, open);
-        allowance.record_given(now, lent);
+        let lent = budget.loans.lend(ask, open);
+        budget.record_given(now, lent);
         lent
     }
 }
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -47,7 +47,7 @@
     pub(crate) wasted: Tokens,
     /// Whether it was sent to an endpoint at all.
     pub(crate) dispatched: bool,
-    /// The state of its reservation in the purse and the ledger.
+    /// The state of its reservation in the ledger budget and the ledger.
     pub(crate) reservation: Reservation,
     /// Whether it counts against its account's limit.
     pub(crate) entered: bool,
@@ -100,9 +100,9 @@
 pub(crate) enum Reservation {
     /// Nothing is reserved.
     None,
-    /// The cost is reserved in this router's purse.
+    /// The cost is reserved in this router's ledger budget.
     Funded,
-    /// Its claim is on its way to the log; the purse keeps the reservation until the verdict.
+    /// Its claim is on its way to the log; the ledger budget keeps the reservation until the verdict.
     Pending,
     /// The ledger accepted its claim.
     Claimed,
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -367,9 +367,9 @@
                 self.grant_budgets.settle(team, reserved, terms.used);
             }
         } else if request.reservation == Reservation::Funded
-            && let Some(purse) = self.ledger_budgets.get_mut(&request.team)
+            && let Some(budget) = self.ledger_budgets.get_mut(&request.team)
         {
-            purse.end_debit(request.reserve);
+            budget.end_debit(request.reserve);
         }
         if self.request_by_key.get(&request.key) == Some(&id) {
             self.request_by_key.swap_remove(&request.key);
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -36,8 +36,8 @@
 impl GrantBudgets {
     /// Has a request or a loan request wait for budget.
     pub(crate) fn push_waiting(&mut self, team: &TeamId, waiting: Waiting) {
-        if let Some(allowance) = self.budgets.get_mut(team) {
-            allowance.waiting.push_back(waiting);
+        if let Some(budget) = self.budgets.get_mut(team) {
+            budget.waiting.push_back(waiting);
         }
     }
 
@@ -50,14 +50,14 @@
             let mut taken = Tokens::ZERO;
             let away = self.unreachable_since.is_some();
             let mut given = Vec::new();
-            let allowance = &mut self.budgets[&team];
+            let budget = &mut self.budgets[&team];
             let GrantBudget {
                 waiting,
                 ration,
                 loans,
                 reserved,
                 ..
-            } = allowance;
+            } = budget;
             waiting.retain(|waiting| {
                 let kept = urgent_reserve(away, now, ration, waiting.priority);
                 let needed = taken.saturating_add(waiting.amount).saturating_add(kept);
@@ -78,7 +78,7 @@
             });
             given
                 .into_iter()
-                .for_each(|amount| allowance.record_given(now, amount));
+                .for_each(|amount| budget.record_given(now, amount));
         }
         funded
     }
@@ -87,12 +87,12 @@
     /// for requests of higher priority, less what can be reserved now.
     pub(super) fn shortfall(&self, now: Instant, team: &TeamId) -> Tokens {
         let away = self.unreachable_since.is_some();
-        let allowance = &self.budgets[team];
-        let waiting = allowance.waiting.iter();
+        let budget = &self.budgets[team];
+        let waiting = budget.waiting.iter();
         let kept =
-            waiting.map(|waiting| urgent_reserve(away, now, &allowance.ration, waiting.priority));
+            waiting.map(|waiting| urgent_reserve(away, now, &budget.ration, waiting.priority));
         let kept = kept.max().unwrap_or_default();
-        let wanted = allowance.own_wanted().saturating_add(kept);
+        let wanted = budget.own_wanted().saturating_add(kept);
         wanted.saturating_sub(self.available(now, team))
     }
 
@@ -134,9 +134,9 @@
 
     /// Removes a request from those that wait.
     pub(crate) fn remove_waiting(&mut self, team: &TeamId, request: RequestId) {
-        if let Some(allowance) = self.budgets.get_mut(team) {
+        if let Some(budget) = self.budgets.get_mut(team) {
             let is_match = |who: &Waiter| matches!(who, Waiter::Request(id) if *id == request);
-            allowance.waiting.retain(|waiting| !is_match(&waiting.who));
+            budget.waiting.retain(|waiting| !is_match(&waiting.who));
         }
     }
 
