--- a/src/decide/endpoint.rs
+++ b/src/decide/endpoint.rs
@@ -164,14 +164,14 @@
     pub(super) fn score(
         &self,
         now: Instant,
-        wish: &Criteria<'_>,
+        criteria: &Criteria<'_>,
         found: Option<&Match>,
         slowness: f64,
     ) -> f64 {
         let load = (self.load(now) + 1.0) / f64::from(self.limit.max(1));
         let cached = found.map_or(0.0, |m| m.blocks as f64 * m.confidence);
-        let missing = (wish.prefix.len() as f64 - cached) / FULL_LOAD_BLOCKS;
-        let remote = if self.domain == *wish.domain {
+        let missing = (criteria.prefix.len() as f64 - cached) / FULL_LOAD_BLOCKS;
+        let remote = if self.domain == *criteria.domain {
             0.0
         } else {
             REMOTE_PENALTY
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -96,7 +96,7 @@
     pub(super) fresh_at: Option<Instant>,
     /// When grants were last adjusted to the policy.
     pub(super) reviewed_at: Option<Instant>,
-    pub(super) stay: StopPhase,
+    pub(super) stop_phase: StopPhase,
     pub(super) clock: FleetClock,
     /// Which routers keep budgets for others.
     pub(super) ownership: Ownership,
@@ -127,7 +127,7 @@
             retry_at: now,
             fresh_at: None,
             reviewed_at: None,
-            stay: StopPhase::Running,
+            stop_phase: StopPhase::Running,
             clock: FleetClock::new(clock),
             ownership: Ownership::default(),
             returned_at: None,
@@ -260,7 +260,7 @@
             .values()
             .any(|budget| !budget.waiting.is_empty());
         let reviews = self.is_review_due(now);
-        let leaving = self.stay == StopPhase::Releasing;
+        let leaving = self.stop_phase == StopPhase::Releasing;
         let unsettled =
             self.behind || leaving || self.book.pending().is_some() || !self.is_loaded();
         waits
@@ -289,7 +289,7 @@
             return Some(Effect::ProposeGrants(pending.clone()));
         }
         // Budget that is given up to a log that does not answer could not be handed over to other routers.
-        let leaving = self.stay == StopPhase::Releasing;
+        let leaving = self.stop_phase == StopPhase::Releasing;
         if leaving && self.failures > 0 {
             return None;
         }
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -52,13 +52,13 @@
 impl GrantBudgets {
     /// Starts returning budget that the remaining callers will not need.
     pub(crate) fn wind_down(&mut self) {
-        self.stay = StopPhase::WindingDown;
+        self.stop_phase = StopPhase::WindingDown;
         self.reviewed_at = None;
     }
 
     /// Starts returning budget that no request in progress needs.
     pub(crate) fn release_idle(&mut self) {
-        self.stay = StopPhase::Releasing;
+        self.stop_phase = StopPhase::Releasing;
         self.reviewed_at = None;
     }
 
@@ -168,7 +168,7 @@
         if self.is_owned_elsewhere(now, team) {
             return granted - free.min(granted);
         }
-        if self.stay != StopPhase::Running && budget.waiting.is_empty() {
+        if self.stop_phase != StopPhase::Running && budget.waiting.is_empty() {
             let kept = self.kept_on_stop(now, budget);
             return granted - free.saturating_sub(kept).min(granted);
         }
@@ -219,7 +219,7 @@
 
     /// Returns what a stopping router keeps beyond what is in use.
     fn kept_on_stop(&self, now: Instant, budget: &GrantBudget) -> Tokens {
-        match self.stay {
+        match self.stop_phase {
             StopPhase::WindingDown => {
                 Tokens((budget.rate(now) * WIND_DOWN_COVER.as_secs_f64()) as u64)
             }
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -80,7 +80,7 @@
     /// Otherwise a planned stop during an outage of the log would take ten seconds' worth of each team's budget out of
     /// use.
     pub(crate) fn transfer_idle(&mut self, now: Instant, me: Incarnation) -> Vec<Effect> {
-        if self.stay != StopPhase::Releasing {
+        if self.stop_phase != StopPhase::Releasing {
             return Vec::new();
         }
         // Borrowed budget cannot be returned to the log.
--- a/src/router/picker.rs
+++ b/src/router/picker.rs
@@ -65,7 +65,7 @@
         let forbidden = self.forbidden(request, quarantine, context);
         let avoided = quarantine.avoided_endpoints(request.fingerprint);
         let mut choose = |excluded: &[VmId]| {
-            let wish = Criteria {
+            let criteria = Criteria {
                 model: requested_model(request),
                 prefix: &blocks,
                 domain: context.domain,
@@ -74,7 +74,7 @@
                 prompt: request.relay.as_ref().and_then(|terms| terms.prompt),
             };
             self.chooser
-                .choose(now, &wish, &self.index, &self.health, rng)
+                .choose(now, &criteria, &self.index, &self.health, rng)
         };
         let strict = [
             request.failed_endpoints.clone(),
