--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -332,7 +332,7 @@
             Event::TableConfirmed(at) => self.confirm_table(now, at),
             Event::Grants(event) => self.handle_grant_event(now, event),
             Event::PromptNotice(notice) => self.record_peer_prompt(now, &notice),
-            Event::TransferReceived(id, transfer) => self.accept_gift(id, &transfer),
+            Event::TransferReceived(id, transfer) => self.accept_transfer(id, &transfer),
             Event::TransferAnswered(transfer, taken) => {
                 self.grant_budgets.finish_transfer(&transfer, taken)
             }
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -139,15 +139,15 @@
         self.effects.extend(again);
         let rests = self.grant_budgets.return_unused(now, self.me);
         self.effects.extend(rests);
-        let gifts = self.grant_budgets.transfer_idle(now, self.me);
-        self.effects.extend(gifts);
+        let transfers = self.grant_budgets.transfer_idle(now, self.me);
+        self.effects.extend(transfers);
     }
 
     /// Accepts budget that a stopping router hands over.
-    pub(crate) fn accept_gift(&mut self, id: ReplyId, gift: &BudgetTransfer) {
+    pub(crate) fn accept_transfer(&mut self, id: ReplyId, transfer: &BudgetTransfer) {
         let status = if self.is_serving() { 200 } else { 503 };
         if self.is_serving() {
-            self.grant_budgets.receive_transfer(gift);
+            self.grant_budgets.receive_transfer(transfer);
         }
         self.effects.push(Effect::Answer(id, status, json!(null)));
     }
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -101,17 +101,17 @@
     }
 
     /// Adds what another router transferred.
-    pub(crate) fn receive_transfer(&mut self, gift: &BudgetTransfer) {
-        info!(event = "given", from = %gift.giver, team = %gift.team, amount = %gift.amount);
-        if let Some(budget) = self.budgets.get_mut(&gift.team) {
-            budget.loans.receive(gift);
+    pub(crate) fn receive_transfer(&mut self, transfer: &BudgetTransfer) {
+        info!(event = "given", from = %transfer.giver, team = %transfer.team, amount = %transfer.amount);
+        if let Some(budget) = self.budgets.get_mut(&transfer.team) {
+            budget.loans.receive(transfer);
         }
     }
 
     /// Notes that another router confirmed a transfer, or that its outcome is unknown.
-    pub(crate) fn finish_transfer(&mut self, gift: &BudgetTransfer, taken: bool) {
-        info!(event = "handed-over", team = %gift.team, amount = %gift.amount, taken);
-        if let Some(budget) = self.budgets.get_mut(&gift.team) {
+    pub(crate) fn finish_transfer(&mut self, transfer: &BudgetTransfer, taken: bool) {
+        info!(event = "handed-over", team = %transfer.team, amount = %transfer.amount, taken);
+        if let Some(budget) = self.budgets.get_mut(&transfer.team) {
             budget.loans.finish_transfer();
         }
     }
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -310,13 +310,13 @@
         self.lent += amount;
         self.number += 1;
         self.unconfirmed_transfers += 1;
-        let gift = BudgetTransfer {
+        let transfer = BudgetTransfer {
             giver: me,
             number: self.number,
             team: team.clone(),
             amount,
         };
-        Effect::TransferBudget(gift, peer)
+        Effect::TransferBudget(transfer, peer)
     }
 
     /// Returns the next owner in turn, skipping those in backoff.
@@ -343,10 +343,14 @@
     }
 
     /// Adds a received transfer to the budget. A repeated transfer counts once.
-    pub(crate) fn receive(&mut self, gift: &BudgetTransfer) {
-        let key = (gift.giver, gift.number);
-        if self.received_transfers.insert(key, gift.amount).is_none() {
-            self.borrowed += gift.amount;
+    pub(crate) fn receive(&mut self, transfer: &BudgetTransfer) {
+        let key = (transfer.giver, transfer.number);
+        if self
+            .received_transfers
+            .insert(key, transfer.amount)
+            .is_none()
+        {
+            self.borrowed += transfer.amount;
         }
         if self.received_transfers.len() > HISTORY_CAPACITY {
             self.received_transfers.shift_remove_index(0);
