--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -336,7 +336,7 @@
             Event::TransferAnswered(transfer, taken) => {
                 self.grant_budgets.finish_transfer(&transfer, taken)
             }
-            Event::LoanRequested(id, request) => self.handle_loan_ask(now, id, &request),
+            Event::LoanRequested(id, request) => self.handle_loan_request(now, id, &request),
             Event::LoanAnswered(request, amount) => {
                 self.grant_budgets.record_loan_answer(now, &request, amount)
             }
--- a/src/router/grant_budget.rs
+++ b/src/router/grant_budget.rs
@@ -143,18 +143,20 @@
 
     /// Counts what a borrower's callers asked for since its last loan request. The borrower asks several routers, and
     /// each of the `owners` counts an equal part of it.
-    pub(crate) fn record_loan_demand(&mut self, now: Instant, ask: &LoanRequest, owners: u64) {
+    pub(crate) fn record_loan_demand(&mut self, now: Instant, request: &LoanRequest, owners: u64) {
         self.first_used.get_or_insert(now);
-        let new = self.borrowers.record(ask.borrower, ask.asked, ask.amount);
+        let new = self
+            .borrowers
+            .record(request.borrower, request.asked, request.amount);
         let part = Tokens(new.0 / owners.max(1));
-        self.ration.record(now, ask.priority, part);
+        self.ration.record(now, request.priority, part);
     }
 
     /// Adds a loan request to a waiting one of the same number; returns whether there is one.
-    pub(crate) fn join_waiting(&mut self, id: ReplyId, ask: &LoanRequest) -> bool {
+    pub(crate) fn join_waiting(&mut self, id: ReplyId, request: &LoanRequest) -> bool {
         for waiting in &mut self.waiting {
             if let Waiter::Loan(ids, first) = &mut waiting.who
-                && (first.borrower, first.number) == (ask.borrower, ask.number)
+                && (first.borrower, first.number) == (request.borrower, request.number)
             {
                 ids.push(id);
                 return true;
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -118,8 +118,8 @@
         for (who, why) in self.grant_budgets.take_unfunded(now) {
             match who {
                 Waiter::Request(id) => self.refuse_unfunded(now, id, why),
-                Waiter::Loan(ids, ask) => {
-                    let amount = self.grant_budgets.lend_open(now, &ask);
+                Waiter::Loan(ids, request) => {
+                    let amount = self.grant_budgets.lend_open(now, &request);
                     self.answer_loans(ids, amount);
                 }
             }
@@ -153,8 +153,8 @@
     }
 
     /// Handles another router's request for a loan.
-    pub(crate) fn handle_loan_ask(&mut self, now: Instant, id: ReplyId, ask: &LoanRequest) {
-        if let Some(amount) = self.grant_budgets.lend(now, id, ask) {
+    pub(crate) fn handle_loan_request(&mut self, now: Instant, id: ReplyId, request: &LoanRequest) {
+        if let Some(amount) = self.grant_budgets.lend(now, id, request) {
             self.answer_loans(vec![id], amount);
         }
     }
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -118,17 +118,22 @@
 
     /// Answers another router's loan request. Returns `None` if the answer waits for more budget from the log. A
     /// repeated request gets the same answer.
-    pub(crate) fn lend(&mut self, now: Instant, id: ReplyId, ask: &LoanRequest) -> Option<Tokens> {
-        match self.ownership.owns_for_all(&ask.team) {
-            true => self.lend_owned(now, id, ask),
-            false => Some(self.lend_idle(now, ask)),
+    pub(crate) fn lend(
+        &mut self,
+        now: Instant,
+        id: ReplyId,
+        request: &LoanRequest,
+    ) -> Option<Tokens> {
+        match self.ownership.owns_for_all(&request.team) {
+            true => self.lend_owned(now, id, request),
+            false => Some(self.lend_idle(now, request)),
         }
     }
 
     /// Lends idle budget of a team whose budget every router keeps for itself.
-    fn lend_idle(&mut self, now: Instant, ask: &LoanRequest) -> Tokens {
-        let free = self.available(now, &ask.team);
-        let Some(budget) = self.budgets.get_mut(&ask.team) else {
+    fn lend_idle(&mut self, now: Instant, request: &LoanRequest) -> Tokens {
+        let free = self.available(now, &request.team);
+        let Some(budget) = self.budgets.get_mut(&request.team) else {
             return Tokens::ZERO;
         };
         let keep = Tokens((budget.rate(now) * OWN_COVER.as_secs_f64()) as u64);
@@ -137,19 +142,22 @@
             true => spare,
             false => Tokens::ZERO,
         };
-        budget.loans.lend(ask, spare)
+        budget.loans.lend(request, spare)
     }
 
     /// Records the answer of another router to a loan request, or that none came.
     pub(crate) fn record_loan_answer(
         &mut self,
         now: Instant,
-        ask: &LoanRequest,
+        request: &LoanRequest,
         amount: Option<Tokens>,
     ) {
-        info!(event = "borrowed", number = ask.number, team = %ask.team, asked = %ask.amount, amount = ?amount.map(|a| a.0));
-        if let Some(budget) = self.budgets.get_mut(&ask.team) {
-            let lender = budget.loans.record_answer(now, ask, amount);
+        info!(
+            event = "borrowed", number = request.number, team = %request.team, asked = %request.amount,
+            amount = ?amount.map(|a| a.0)
+        );
+        if let Some(budget) = self.budgets.get_mut(&request.team) {
+            let lender = budget.loans.record_answer(now, request, amount);
             if let Some(peer) = lender.filter(|_| amount.is_none()) {
                 self.ownership.mark_unresponsive(now, &peer);
             }
--- a/src/router/loans.rs
+++ b/src/router/loans.rs
@@ -73,7 +73,7 @@
 /// neither side can spend that amount.
 #[derive(Clone, Debug)]
 struct UnansweredRequest {
-    ask: LoanRequest,
+    request: LoanRequest,
     peer: Peer,
     first_failure: Instant,
     last_attempt: Instant,
@@ -191,7 +191,7 @@
             peer: peer.clone(),
             sent_at: now,
         });
-        let ask = LoanRequest {
+        let request = LoanRequest {
             borrower: me,
             number: self.number,
             team: team.clone(),
@@ -199,12 +199,14 @@
             asked: need.total_demand,
             priority: need.priority,
         };
-        Effect::RequestLoan(ask, peer)
+        Effect::RequestLoan(request, peer)
     }
 
     /// Returns the answer that was already given to a request.
-    pub(crate) fn previous_answer(&self, ask: &LoanRequest) -> Option<Tokens> {
-        self.answers.get(&(ask.borrower, ask.number)).copied()
+    pub(crate) fn previous_answer(&self, request: &LoanRequest) -> Option<Tokens> {
+        self.answers
+            .get(&(request.borrower, request.number))
+            .copied()
     }
 
     /// Records the answer to the request in flight and returns the router that was asked. An `amount` of `None` means
@@ -212,12 +214,14 @@
     pub(crate) fn record_answer(
         &mut self,
         now: Instant,
-        ask: &LoanRequest,
+        request: &LoanRequest,
         amount: Option<Tokens>,
     ) -> Option<Peer> {
-        let pending = self.pending.take_if(|pending| pending.number == ask.number);
+        let pending = self
+            .pending
+            .take_if(|pending| pending.number == request.number);
         let Some(PendingRequest { peer, sent_at, .. }) = pending else {
-            self.record_late_answer(ask, amount);
+            self.record_late_answer(request, amount);
             return None;
         };
         if amount.is_some() {
@@ -225,12 +229,12 @@
         } else {
             // Retries ask for no tokens: a lender that never received the request would lend an amount that is no
             // longer needed.
-            let ask = LoanRequest {
+            let request = LoanRequest {
                 amount: Tokens::ZERO,
-                ..ask.clone()
+                ..request.clone()
             };
             self.unanswered.push(UnansweredRequest {
-                ask,
+                request,
                 peer: peer.clone(),
                 first_failure: now,
                 last_attempt: now,
@@ -239,7 +243,7 @@
         let amount = amount.unwrap_or(Tokens::ZERO);
         self.borrowed += amount;
         self.backoff_until.retain(|_, until| now < *until);
-        if amount.0 < ask.amount.0 / MIN_LOAN_DIVISOR {
+        if amount.0 < request.amount.0 / MIN_LOAN_DIVISOR {
             self.backoff_until
                 .insert(peer.address.clone(), now + LENDER_BACKOFF);
         }
@@ -247,11 +251,11 @@
     }
 
     /// Records the answer to a retried request. An `amount` of `None` means that no answer came.
-    fn record_late_answer(&mut self, ask: &LoanRequest, amount: Option<Tokens>) {
+    fn record_late_answer(&mut self, request: &LoanRequest, amount: Option<Tokens>) {
         let Some(amount) = amount else {
             return;
         };
-        let is_same = |entry: &UnansweredRequest| entry.ask.number == ask.number;
+        let is_same = |entry: &UnansweredRequest| entry.request.number == request.number;
         if let Some(index) = self.unanswered.iter().position(is_same) {
             self.unanswered.swap_remove(index);
             self.borrowed += amount;
@@ -271,7 +275,10 @@
             now >= entry.last_attempt + RETRY_INTERVAL && is_responsive(&entry.peer)
         })?;
         entry.last_attempt = now;
-        Some(Effect::RequestLoan(entry.ask.clone(), entry.peer.clone()))
+        Some(Effect::RequestLoan(
+            entry.request.clone(),
+            entry.peer.clone(),
+        ))
     }
 
     /// Transfers an amount to the router with the highest demand for the budget. It counts as lent from now on, whether
@@ -358,15 +365,15 @@
     }
 
     /// Answers a loan request from the spare budget. A repeated request gets the same answer as before.
-    pub(crate) fn lend(&mut self, ask: &LoanRequest, spare: Tokens) -> Tokens {
-        if let Some(answer) = self.previous_answer(ask) {
+    pub(crate) fn lend(&mut self, request: &LoanRequest, spare: Tokens) -> Tokens {
+        if let Some(answer) = self.previous_answer(request) {
             return answer;
         }
-        let key = (ask.borrower, ask.number);
-        let amount = ask.amount.min(spare);
+        let key = (request.borrower, request.number);
+        let amount = request.amount.min(spare);
         info!(
-            event = "lent", to = %ask.borrower, number = ask.number, team = %ask.team, asked = %ask.amount,
-            lent = %amount, %spare,
+            event = "lent", to = %request.borrower, number = request.number, team = %request.team,
+            asked = %request.amount, lent = %amount, %spare,
         );
         self.lent += amount;
         self.answers.insert(key, amount);
--- a/src/router/owner_loans.rs
+++ b/src/router/owner_loans.rs
@@ -152,50 +152,50 @@
         &mut self,
         now: Instant,
         id: ReplyId,
-        ask: &LoanRequest,
+        request: &LoanRequest,
     ) -> Option<Tokens> {
-        let open = self.available_to(now, &ask.team, ask.priority);
-        let remainder = self.remainder(now, &ask.team);
+        let open = self.available_to(now, &request.team, request.priority);
+        let remainder = self.remainder(now, &request.team);
         let log_failing = self.failures > 0;
-        let Some(budget) = self.budgets.get_mut(&ask.team) else {
+        let Some(budget) = self.budgets.get_mut(&request.team) else {
             return Some(Tokens::ZERO);
         };
-        if let Some(answer) = budget.loans.previous_answer(ask) {
+        if let Some(answer) = budget.loans.previous_answer(request) {
             return Some(answer);
         }
-        budget.record_loan_demand(now, ask, TEAM_OWNERS as u64);
-        if budget.join_waiting(id, ask) {
+        budget.record_loan_demand(now, request, TEAM_OWNERS as u64);
+        if budget.join_waiting(id, request) {
             return None;
         }
         if !budget
             .ration
-            .admits(now, &remainder, ask.priority, ask.amount)
+            .admits(now, &remainder, request.priority, request.amount)
         {
             return Some(Tokens::ZERO);
         }
         let is_first = budget.waiting.is_empty();
-        if log_failing || is_first && open >= ask.amount {
-            return Some(self.lend_open(now, ask));
+        if log_failing || is_first && open >= request.amount {
+            return Some(self.lend_open(now, request));
         }
         budget.waiting.push_back(Waiting {
-            who: Waiter::Loan(vec![id], ask.clone()),
-            amount: ask.amount,
-            priority: ask.priority,
+            who: Waiter::Loan(vec![id], request.clone()),
+            amount: request.amount,
+            priority: request.priority,
             since: now,
         });
         None
     }
 
     /// Lends as much of the requested amount as is open now. Another owner may have the remainder.
-    pub(crate) fn lend_open(&mut self, now: Instant, ask: &LoanRequest) -> Tokens {
-        let open = self.available_to(now, &ask.team, ask.priority);
-        let Some(budget) = self.budgets.get_mut(&ask.team) else {
+    pub(crate) fn lend_open(&mut self, now: Instant, request: &LoanRequest) -> Tokens {
+        let open = self.available_to(now, &request.team, request.priority);
+        let Some(budget) = self.budgets.get_mut(&request.team) else {
             return Tokens::ZERO;
         };
-        if let Some(answer) = budget.loans.previous_answer(ask) {
+        if let Some(answer) = budget.loans.previous_answer(request) {
             return answer;
         }
-        let lent = budget.loans.lend(ask, open);
+        let lent = budget.loans.lend(request, open);
         budget.record_given(now, lent);
         lent
     }
