--- a/src/decide/holding.rs
+++ b/src/decide/holding.rs
@@ -141,11 +141,11 @@
             let step = self.step(fair_share.saturating_sub(view.free));
             return draw(view, view.free.saturating_add(step).min(needed));
         }
-        let keep = target.max(view.wanted);
-        if free > keep.0 as f64 * HIGH_WATERMARK {
+        let kept = target.max(view.wanted);
+        if free > kept.0 as f64 * HIGH_WATERMARK {
             let step = match needed < fair_share {
-                true => view.free - keep,
-                false => self.step(view.free - keep),
+                true => view.free - kept,
+                false => self.step(view.free - kept),
             };
             return HoldingAction::Return(step);
         }
--- a/src/router/fund.rs
+++ b/src/router/fund.rs
@@ -299,11 +299,11 @@
         // What the next second is likely to need stays, so that tokens do not circulate between routers. If a request
         // waits here, nothing stays: what is held is too little for it, and if each router kept its part of what one
         // request needs, all would refuse.
-        let keep = match budget.waiting.is_empty() {
+        let kept = match budget.waiting.is_empty() {
             true => Tokens(demand as u64).min(Tokens(idle.0 / 2)),
             false => Tokens::ZERO,
         };
-        self.return_budget(team, idle - keep);
+        self.return_budget(team, idle - kept);
     }
 
     fn record_demand(&mut self, now: Instant, team: &TeamId, amount: Tokens) {
--- a/src/router/lending.rs
+++ b/src/router/lending.rs
@@ -136,8 +136,8 @@
         let Some(budget) = self.budgets.get_mut(&request.team) else {
             return Tokens::ZERO;
         };
-        let keep = Tokens((budget.rate(now) * OWN_COVER.as_secs_f64()) as u64);
-        let spare = free.saturating_sub(keep).max(Tokens(free.0 / 2));
+        let kept = Tokens((budget.rate(now) * OWN_COVER.as_secs_f64()) as u64);
+        let spare = free.saturating_sub(kept).max(Tokens(free.0 / 2));
         let spare = match budget.waiting.is_empty() {
             true => spare,
             false => Tokens::ZERO,
