--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -26,7 +26,7 @@
 const MUTE_FACTOR: u32 = 3;
 
 /// How many quarters of the time-out a router that is cut off goes on for before it stops starting runs. The margin is
-/// there because the others may have heard it later than it heard them.
+/// there because the others may have received its last heartbeat later than it received theirs.
 const STOP_QUARTERS: u32 = 3;
 
 impl Core {
@@ -72,7 +72,7 @@
             .vm_index
             .peers()
             .iter()
-            .filter(|peer| !self.members.heard_recently(now, &peer.vm))
+            .filter(|peer| !self.members.has_fresh_heartbeat(now, &peer.vm))
             .cloned()
             .collect();
         let unreachable = |peer: &crate::router::Peer| {
@@ -93,14 +93,14 @@
     fn can_replicate(&self, now: Instant) -> bool {
         let peers = self.members.vm_index.peers();
         let mut peers = peers.iter();
-        let replica =
-            peers.any(|p| self.counts_as_replica(&p.vm) && self.members.heard_recently(now, &p.vm));
+        let replica = peers
+            .any(|p| self.counts_as_replica(&p.vm) && self.members.has_fresh_heartbeat(now, &p.vm));
         let replica = replica || self.tuning.end_marker == EndMarker::Hold;
         match self.tuning.lean {
             ConsistencyMode::Available => replica,
             ConsistencyMode::Strict => {
                 let mut open_peers = self.open_peers().into_iter();
-                replica && open_peers.all(|vm| self.members.heard_recently(now, &vm))
+                replica && open_peers.all(|vm| self.members.has_fresh_heartbeat(now, &vm))
             }
         }
     }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns whether a fresh heartbeat of a peer is known.
-    pub(crate) fn heard_recently(&self, now: Instant, vm: &VmId) -> bool {
+    pub(crate) fn has_fresh_heartbeat(&self, now: Instant, vm: &VmId) -> bool {
         self.heartbeats
             .get(vm)
             .is_some_and(|(at, _)| now < *at + self.fresh_period)
@@ -146,11 +146,11 @@
 
     /// Returns whether a fresh heartbeat shows another incarnation on a router's VM, which means that this one is dead.
     pub(crate) fn is_replaced(&self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
-        let heard = self
+        let heartbeat = self
             .heartbeats
             .get(vm)
             .filter(|(at, _)| now < *at + self.fresh_period);
-        heard.is_some_and(|(_, beat)| beat.router != router)
+        heartbeat.is_some_and(|(_, beat)| beat.router != router)
     }
 
     /// Stores a peer's batches after those that it left here before; returns whether that was possible.
--- a/src/router/table_watch.rs
+++ b/src/router/table_watch.rs
@@ -46,7 +46,7 @@
     /// The VMs of peers that have it and did not fail to send it, the next one to ask first.
     sources: IndexSet<VmId>,
     /// When a version newer than the one in force was first reported.
-    heard_at: Instant,
+    reported_at: Instant,
 }
 
 impl TableWatch {
@@ -63,7 +63,7 @@
         let newer = self.newer.get_or_insert_with(|| NewerTable {
             version: heartbeat.table,
             sources: IndexSet::new(),
-            heard_at: now,
+            reported_at: now,
         });
         if heartbeat.table > newer.version {
             newer.version = heartbeat.table;
@@ -94,7 +94,7 @@
     /// Returns the peer to ask for a newer configuration, if a request is due.
     fn next_source(&mut self, now: Instant) -> Option<VmId> {
         let newer = self.newer.as_mut()?;
-        if now < newer.heard_at + STORE_GRACE
+        if now < newer.reported_at + STORE_GRACE
             || self.asked_at.is_some_and(|at| now < at + ASK_INTERVAL)
         {
             return None;
