--- a/src/decide/opening.rs
+++ b/src/decide/opening.rs
@@ -12,12 +12,12 @@
 use crate::tokens::TokenRate;
 use crate::tokens::Tokens;
 
-/// Demand that may be spent at once beyond what was in use when a promise was written. A request that needs more waits
-/// some milliseconds for the next promise. With half a second of demand and two requests, a crash of all routers
-/// stranded a fourteenth of all budgets.
+/// Demand that may be spent at once beyond what was in use when a spend pace was written. A request that needs more
+/// waits some milliseconds for the next spend pace. With half a second of demand and two requests, a crash of all
+/// routers stranded a fourteenth of all budgets.
 const BURST_WINDOW: Duration = Duration::from_millis(100);
 
-/// Upper bound of the promised spending rate, relative to the router's demand. In an outage, bursts above it are
+/// Upper bound of the rate of a spend pace, relative to the router's demand. In an outage, bursts above it are
 /// refused; when a router crashes, each further tenth strands a tenth of a second of its demand for each second of
 /// downtime.
 const MAX_RATE_FACTOR: f64 = 1.1;
--- a/src/escrow/spend_pace.rs
+++ b/src/escrow/spend_pace.rs
@@ -2,7 +2,7 @@
 //!
 //! When a router dies, nobody knows what it had spent. If its whole grant had to count as spent, a grant large enough
 //! for an outage of the log would be costly: each death would strand all that was held. Each grant therefore carries a
-//! spending pace, a commitment to use, beyond what was in use when the record was written, only so much at once and so
+//! spend pace, a commitment to use, beyond what was in use when the record was written, only so much at once and so
 //! much a second from then on. A router in contact with the log renews its pace all the time and is never slowed by it;
 //! one that is cut off may use more the longer the outage lasts, up to its whole grant. The next incarnation on the
 //! same VM knows for how long at most the dead one can have spent after its last pace was written, and returns what it
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -59,7 +59,7 @@
 /// The delay after the first failed call to the log; it doubles with each further failure.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest such delay: how late the end of an outage may be noticed. Until then no spending pace is renewed, and
+/// The longest such delay: how late the end of an outage may be noticed. Until then no spend pace is renewed, and
 /// what has become usable meanwhile is stranded if the routers die.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 
@@ -308,7 +308,7 @@
         }
         let changes = self.grant_changes(now, due);
         // Only a review postpones the next one. If each call for a waiting request did so, there would be no review
-        // while the callers of one team wait, and the spending paces of the other teams would grow old.
+        // while the callers of one team wait, and the spend paces of the other teams would grow old.
         if due {
             self.reviewed_at = Some(now);
         }
@@ -448,7 +448,7 @@
 }
 
 /// Returns what must stay available for requests that are more urgent than a priority. In contact with the log, the
-/// next spending pace makes more available; in an outage, budget becomes available slowly, and less urgent requests
+/// next spend pace makes more available; in an outage, budget becomes available slowly, and less urgent requests
 /// would use up every bit of it.
 pub(super) fn urgent_reserve(
     away: bool,
