--- a/src/decide/borrowers.rs
+++ b/src/decide/borrowers.rs
@@ -3,8 +3,8 @@
 //! Owners of a budget receive the same loan request repeatedly: it is retried when no answer arrives, sent to the next
 //! owner when one has too few tokens, and owners ask each other on behalf of their borrowers. If each request counted
 //! as demand, the estimated demand would grow without bound, and with it the amounts that are drawn, committed,
-//! rationed and requested in advance. Here a borrower reports with each request the total that its own callers have asked for so
-//! far, and only the increase counts.
+//! rationed and requested in advance. Here a borrower reports with each request the total that its own callers have
+//! asked for so far, and only the increase counts.
 
 use std::hash::BuildHasherDefault;
 
