--- a/src/router/budget_status.rs
+++ b/src/router/budget_status.rs
@@ -26,10 +26,11 @@
         };
         let rest = self.remainder(now, team);
         info!(
-            event = "budget", %request, %team, prepaid = %budget.prepaid, granted = %self.book.granted(team),
+            event = "budget", %request, %team, prepaid = %budget.prepaid, granted = %self.grant_state.granted(team),
             reserved = %budget.reserved, spent = %budget.spent,
-            elsewhere = %self.book.granted_to_others(team), spent_elsewhere = %self.book.spent_by_others(team),
-            undrawn = %self.book.undrawn(team, budget.prepaid), in_reach = %rest.left,
+            elsewhere = %self.grant_state.granted_to_others(team),
+            spent_elsewhere = %self.grant_state.spent_by_others(team),
+            undrawn = %self.grant_state.undrawn(team, budget.prepaid), in_reach = %rest.left,
             demand = rest.demand as u64, lasts_ms = rest.lasts.as_millis() as u64,
             age_ms = self.log_answer_age(now),
         );
@@ -41,14 +42,14 @@
             json!({
                 "team": team,
                 "prepaid": budget.prepaid,
-                "granted_here": self.book.granted(team),
+                "granted_here": self.grant_state.granted(team),
                 "reserved_here": budget.reserved,
                 "spent_here": budget.spent,
                 "lent": budget.loans.lent(),
                 "borrowed": budget.loans.borrowed(),
-                "granted_elsewhere": self.book.granted_to_others(team),
-                "spent_elsewhere_at_least": self.book.spent_by_others(team),
-                "undrawn": self.book.undrawn(team, budget.prepaid),
+                "granted_elsewhere": self.grant_state.granted_to_others(team),
+                "spent_elsewhere_at_least": self.grant_state.spent_by_others(team),
+                "undrawn": self.grant_state.undrawn(team, budget.prepaid),
                 "waiting": budget.waiting.len(),
             })
         });
@@ -56,7 +57,7 @@
             "teams": budgets.collect::<Vec<_>>(),
             "log_word_age_ms": self.log_answer_age(now),
             "log_failures": self.failures,
-            "pending": self.book.pending().is_some(),
+            "pending": self.grant_state.pending().is_some(),
         })
     }
 
--- a/src/router/grant_budgets.rs
+++ b/src/router/grant_budgets.rs
@@ -77,7 +77,7 @@
 /// The budgets of all teams as far as this router may spend them.
 #[derive(Debug)]
 pub(crate) struct GrantBudgets {
-    pub(super) book: GrantState,
+    pub(super) grant_state: GrantState,
     pub(super) budgets: IndexMap<TeamId, GrantBudget>,
     pub(super) policy: HoldingPolicy,
     /// Whether a call to the log is in flight.
@@ -116,7 +116,7 @@
         clock: BootClock,
     ) -> Self {
         Self {
-            book: GrantState::new(vm, me),
+            grant_state: GrantState::new(vm, me),
             budgets: IndexMap::new(),
             policy: HoldingPolicy::with_cover(DEMAND_COVER, holding_ratio(lean)),
             in_flight: false,
@@ -174,7 +174,7 @@
 
     /// Returns whether the grants have been read.
     pub(crate) fn is_loaded(&self) -> bool {
-        self.book.end().is_some()
+        self.grant_state.end().is_some()
     }
 
     /// Reserves what a request may cost; a team without a limit needs no reservation.
@@ -222,9 +222,9 @@
         match event {
             GrantEvent::Read { rows, end } => {
                 for (offset, key, row) in rows {
-                    self.book.apply(offset, &key, row);
+                    self.grant_state.apply(offset, &key, row);
                 }
-                self.book.advance(end);
+                self.grant_state.advance(end);
                 self.behind = false;
                 self.record_answer(now);
             }
@@ -233,7 +233,7 @@
                 self.reread_all();
             }
             GrantEvent::Landed(at) => {
-                let records = self.book.confirm(at);
+                let records = self.grant_state.confirm(at);
                 self.log_grants(&records);
                 self.record_answer(now);
             }
@@ -242,11 +242,11 @@
                 self.clear_failures();
             }
             GrantEvent::Refused(at) => {
-                self.book.reject(at);
+                self.grant_state.reject(at);
                 self.record_failure(now);
             }
             GrantEvent::Lost(at) => {
-                self.book.mark_uncertain(at);
+                self.grant_state.mark_uncertain(at);
                 self.record_failure(now);
             }
             GrantEvent::ReadFailed => self.record_failure(now),
@@ -262,7 +262,7 @@
         let reviews = self.is_review_due(now);
         let leaving = self.stop_phase == StopPhase::Releasing;
         let unsettled =
-            self.behind || leaving || self.book.pending().is_some() || !self.is_loaded();
+            self.behind || leaving || self.grant_state.pending().is_some() || !self.is_loaded();
         waits
             || !self.low_teams.is_empty()
             || !self.in_flight && now >= self.retry_at && (reviews || unsettled)
@@ -279,13 +279,13 @@
     }
 
     fn next_call(&mut self, now: Instant) -> Option<Effect> {
-        let Some(end) = self.book.end() else {
+        let Some(end) = self.grant_state.end() else {
             return Some(Effect::ReadGrants(None));
         };
         if self.behind {
             return Some(Effect::ReadGrants(Some(end)));
         }
-        if let Some(pending) = self.book.pending() {
+        if let Some(pending) = self.grant_state.pending() {
             return Some(Effect::ProposeGrants(pending.clone()));
         }
         // Budget that is given up to a log that does not answer could not be handed over to other routers.
@@ -319,7 +319,7 @@
                 .get(team)
                 .map_or(Tokens::ZERO, |budget| budget.prepaid)
         };
-        if let Some(proposal) = self.book.propose(changes, &start, prepaid) {
+        if let Some(proposal) = self.grant_state.propose(changes, &start, prepaid) {
             return Some(Effect::ProposeGrants(proposal));
         }
         // What other routers returned since may cover the waiting requests.
@@ -329,7 +329,7 @@
     /// Starts reading from the beginning: the log has deleted records that were not read.
     fn reread_all(&mut self) {
         warn!(event = "grants-gone");
-        self.book.restart();
+        self.grant_state.restart();
     }
 
     /// Logs the grants that stand from now on. The log lines show where a budget lies, and which part of a dead
@@ -337,7 +337,7 @@
     /// time that passed.
     fn log_grants(&self, records: &[(GrantKey, GrantRow)]) {
         for (key, row) in records {
-            match self.book.is_own(key) {
+            match self.grant_state.is_own(key) {
                 true => self.log_granted(&key.team, row),
                 false => log_given_back(key, row),
             }
@@ -390,7 +390,8 @@
     pub(super) fn available(&self, now: Instant, team: &TeamId) -> Tokens {
         self.remaining(
             team,
-            self.book.usable_at(team, &self.clock.own_reading(now)),
+            self.grant_state
+                .usable_at(team, &self.clock.own_reading(now)),
         )
     }
 
@@ -405,7 +406,7 @@
 
     /// Returns what is held and not in use, though not all of it may be usable at once.
     pub(super) fn held(&self, team: &TeamId) -> Tokens {
-        self.remaining(team, self.book.granted(team))
+        self.remaining(team, self.grant_state.granted(team))
     }
 
     /// Returns what is left of a part of a grant.
@@ -421,14 +422,14 @@
             .get(team)
             .map_or(Tokens::ZERO, |budget| budget.prepaid);
         self.held(team)
-            .saturating_add(self.book.undrawn(team, prepaid))
+            .saturating_add(self.grant_state.undrawn(team, prepaid))
     }
 
     /// Returns the most that can be left of a team's budget, given everything that is known to be used.
     pub(super) fn max_left(&self, team: &TeamId) -> Tokens {
         self.budgets.get(team).map_or(Tokens::ZERO, |budget| {
             let here = budget.spent.saturating_add(budget.reserved);
-            let used = here.saturating_add(self.book.spent_by_others(team));
+            let used = here.saturating_add(self.grant_state.spent_by_others(team));
             let in_transit = match self.ownership.is_owned_by_all() {
                 true => Tokens::ZERO,
                 false => Tokens(budget.prepaid.0 / IN_TRANSIT_DIVISOR),
--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -65,12 +65,12 @@
     /// Returns whether all budget that is not in use has been returned or transferred.
     pub(crate) fn has_released_all(&self) -> bool {
         let teams = self.budgets.keys();
-        let mut idle = teams.map(|team| self.held(team).min(self.book.granted(team)));
+        let mut idle = teams.map(|team| self.held(team).min(self.grant_state.granted(team)));
         let transferring = self
             .budgets
             .values()
             .any(|a| a.loans.has_unconfirmed_transfers());
-        let settled = self.book.pending().is_none() || self.failures > 0;
+        let settled = self.grant_state.pending().is_none() || self.failures > 0;
         settled && !transferring && idle.all(|idle| idle == Tokens::ZERO)
     }
 
@@ -117,7 +117,7 @@
         }
         let made = self.clock.reading(now);
         let changes = self.budgets.iter().filter_map(|(team, budget)| {
-            let old = self.book.granted(team);
+            let old = self.grant_state.granted(team);
             let granted = self.target_grant(now, team, budget);
             // Returning unused budget along with every call made for another team's request would take up most of the
             // partition's throughput.
@@ -163,7 +163,7 @@
 
     /// Returns what a grant should be according to the policy.
     fn target_grant(&self, now: Instant, team: &TeamId, budget: &GrantBudget) -> Tokens {
-        let granted = self.book.granted(team);
+        let granted = self.grant_state.granted(team);
         let free = self.held(team);
         if self.is_owned_elsewhere(now, team) {
             return granted - free.min(granted);
@@ -175,7 +175,7 @@
         let share = BudgetView {
             free,
             claimed: budget.reserved,
-            undrawn: self.book.undrawn(team, budget.prepaid),
+            undrawn: self.grant_state.undrawn(team, budget.prepaid),
             routers: self.sharer_count(team),
             demand: budget.rate(now),
             team_demand: budget.rate(now) + self.peer_budgets.demand(team),
@@ -235,7 +235,7 @@
         budget: &GrantBudget,
         granted: Tokens,
     ) -> ReleaseLimit {
-        let drawn = granted.saturating_sub(self.book.granted(team));
+        let drawn = granted.saturating_sub(self.grant_state.granted(team));
         let held = self.held(team).saturating_add(drawn);
         let flow = budget.outflow_rate(now).min(budget.rate(now));
         decide::release_limit(flow, held, DEMAND_COVER)
@@ -252,13 +252,15 @@
         budget: &GrantBudget,
         new: &SpendPace,
     ) -> bool {
-        let row = self.book.row(team);
+        let row = self.grant_state.row(team);
         let Some(old) = row.pace else {
             return row.granted > Tokens::ZERO;
         };
         let rate = old.rate.0.abs_diff(new.rate.0) as f64;
         let rate_changed = rate > old.rate.0 as f64 * MIN_RATE_CHANGE;
-        let open = self.book.usable_at(team, &self.clock.own_reading(now));
+        let open = self
+            .grant_state
+            .usable_at(team, &self.clock.own_reading(now));
         let opened = open.saturating_sub(new.used.saturating_add(new.room));
         let stale = opened > new.rate.over(MAX_OPENING_TIME) && budget.is_worth_writing(opened);
         row.granted > new.used.min(old.used) && (old.used != new.used || rate_changed || stale)
--- a/src/router/waiting.rs
+++ b/src/router/waiting.rs
@@ -105,7 +105,7 @@
             let held = self.held(&team);
             let fresh = self.fresh_at;
             let may_borrow = self.budgets[&team].loans.can_borrow(now);
-            let away = self.failures > 0 || self.book.end().is_none();
+            let away = self.failures > 0 || self.grant_state.end().is_none();
             self.budgets[&team].waiting.retain(|waiting| {
                 let book_fresh = fresh.is_some_and(|at| at + MAX_STALENESS >= waiting.since);
                 let is_loan = matches!(waiting.who, Waiter::Loan(..));
