--- a/src/router/grant_review.rs
+++ b/src/router/grant_review.rs
@@ -125,12 +125,12 @@
             if is_surplus && !due && !self.is_needed_elsewhere(team) {
                 return None;
             }
-            let opening = self.opening(now, team, budget, granted);
+            let limit = self.release_limit(now, team, budget, granted);
             let pace = SpendPace {
                 made: made.own,
                 used: budget.in_use(),
-                room: budget.wanted().saturating_add(opening.burst),
-                rate: opening.rate,
+                room: budget.wanted().saturating_add(limit.burst),
+                rate: limit.rate,
                 fleet: made.fleet,
             };
             let renewed = match due {
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Returns how fast a grant is to open.
-    fn opening(
+    /// Returns how fast a grant is to be released.
+    fn release_limit(
         &self,
         now: Instant,
         team: &TeamId,
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -125,8 +125,8 @@
             }
         }
         if self.grant_budgets.is_refresh_due(now) {
-            let words = self.members.budget_reports(now);
-            self.grant_budgets.update_peer_budgets(now, &words);
+            let reports = self.members.budget_reports(now);
+            self.grant_budgets.update_peer_budgets(now, &reports);
         }
         if !self.grant_budgets.is_due(now) {
             return;
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -243,13 +243,13 @@
             (now < *at + self.fresh_period).then_some(beat)
         };
         let peers = self.vm_index.peers();
-        let words = peers.iter().filter_map(|peer| {
+        let reports = peers.iter().filter_map(|peer| {
             Some(BudgetReport {
                 peer: peer.clone(),
                 budgets: fresh(&peer.vm)?.purses.clone(),
             })
         });
-        words.collect()
+        reports.collect()
     }
 
     /// Returns whether a peer in the VM list failed to answer recently.
