--- a/src/router/budget_status.rs
+++ b/src/router/budget_status.rs
@@ -21,15 +21,16 @@
         why: Unfunded,
     ) {
         info!(event = "unfunded", %request, ?why, failures = self.failures);
-        let Some(allowance) = self.budgets.get(team) else {
+        let Some(budget) = self.budgets.get(team) else {
             return;
         };
         let rest = self.remainder(now, team);
         info!(
-            event = "budget", %request, %team, prepaid = %allowance.prepaid, granted = %self.book.granted(team),
-            reserved = %allowance.reserved, spent = %allowance.spent,
-            elsewhere = %self.book.granted_to_others(team), spent_elsewhere = %self.book.spent_by_others(team),
-            undrawn = %self.book.undrawn(team, allowance.prepaid), in_reach = %rest.left,
+            event = "budget", %request, %team, prepaid = %budget.prepaid, granted = %self.grant_state.granted(team),
+            reserved = %budget.reserved, spent = %budget.spent,
+            elsewhere = %self.grant_state.granted_to_others(team),
+            spent_elsewhere = %self.grant_state.spent_by_others(team),
+            undrawn = %self.grant_state.undrawn(team, budget.prepaid), in_reach = %rest.left,
             demand = rest.demand as u64, lasts_ms = rest.lasts.as_millis() as u64,
             age_ms = self.log_answer_age(now),
         );
@@ -37,26 +38,26 @@
 
     /// Returns the budgets for the state dump.
     pub(crate) fn dump(&self, now: Instant) -> Value {
-        let budgets = self.budgets.iter().map(|(team, allowance)| {
+        let budgets = self.budgets.iter().map(|(team, budget)| {
             json!({
                 "team": team,
-                "prepaid": allowance.prepaid,
-                "granted_here": self.book.granted(team),
-                "reserved_here": allowance.reserved,
-                "spent_here": allowance.spent,
-                "lent": allowance.loans.lent(),
-                "borrowed": allowance.loans.borrowed(),
-                "granted_elsewhere": self.book.granted_to_others(team),
-                "spent_elsewhere_at_least": self.book.spent_by_others(team),
-                "undrawn": self.book.undrawn(team, allowance.prepaid),
-                "waiting": allowance.waiting.len(),
+                "prepaid": budget.prepaid,
+                "granted_here": self.grant_state.granted(team),
+                "reserved_here": budget.reserved,
+                "spent_here": budget.spent,
+                "lent": budget.loans.lent(),
+                "borrowed": budget.loans.borrowed(),
+                "granted_elsewhere": self.grant_state.granted_to_others(team),
+                "spent_elsewhere_at_least": self.grant_state.spent_by_others(team),
+                "undrawn": self.grant_state.undrawn(team, budget.prepaid),
+                "waiting": budget.waiting.len(),
             })
         });
         json!({
             "teams": budgets.collect::<Vec<_>>(),
             "log_word_age_ms": self.log_answer_age(now),
             "log_failures": self.failures,
-            "pending": self.book.pending().is_some(),
+            "pending": self.grant_state.pending().is_some(),
         })
     }
 
--- a/src/router/grants.rs
+++ b/src/router/grants.rs
@@ -118,15 +118,15 @@
         for (who, why) in self.grant_budgets.take_unfunded(now) {
             match who {
                 Waiter::Request(id) => self.refuse_unfunded(now, id, why),
-                Waiter::Loan(ids, ask) => {
-                    let amount = self.grant_budgets.lend_open(now, &ask);
+                Waiter::Loan(ids, request) => {
+                    let amount = self.grant_budgets.lend_open(now, &request);
                     self.answer_loans(ids, amount);
                 }
             }
         }
         if self.grant_budgets.is_refresh_due(now) {
-            let words = self.members.budget_reports(now);
-            self.grant_budgets.update_peer_budgets(now, &words);
+            let reports = self.members.budget_reports(now);
+            self.grant_budgets.update_peer_budgets(now, &reports);
         }
         if !self.grant_budgets.is_due(now) {
             return;
@@ -139,22 +139,22 @@
         self.effects.extend(again);
         let rests = self.grant_budgets.return_unused(now, self.me);
         self.effects.extend(rests);
-        let gifts = self.grant_budgets.transfer_idle(now, self.me);
-        self.effects.extend(gifts);
+        let transfers = self.grant_budgets.transfer_idle(now, self.me);
+        self.effects.extend(transfers);
     }
 
     /// Accepts budget that a stopping router hands over.
-    pub(crate) fn accept_gift(&mut self, id: ReplyId, gift: &BudgetTransfer) {
+    pub(crate) fn accept_transfer(&mut self, id: ReplyId, transfer: &BudgetTransfer) {
         let status = if self.is_serving() { 200 } else { 503 };
         if self.is_serving() {
-            self.grant_budgets.receive_transfer(gift);
+            self.grant_budgets.receive_transfer(transfer);
         }
         self.effects.push(Effect::Answer(id, status, json!(null)));
     }
 
     /// Handles another router's request for a loan.
-    pub(crate) fn handle_loan_ask(&mut self, now: Instant, id: ReplyId, ask: &LoanRequest) {
-        if let Some(amount) = self.grant_budgets.lend(now, id, ask) {
+    pub(crate) fn handle_loan_request(&mut self, now: Instant, id: ReplyId, request: &LoanRequest) {
+        if let Some(amount) = self.grant_budgets.lend(now, id, request) {
             self.answer_loans(vec![id], amount);
         }
     }
--- a/src/router/members.rs
+++ b/src/router/members.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns whether a fresh heartbeat of a peer is known.
-    pub(crate) fn heard_recently(&self, now: Instant, vm: &VmId) -> bool {
+    pub(crate) fn has_fresh_heartbeat(&self, now: Instant, vm: &VmId) -> bool {
         self.heartbeats
             .get(vm)
             .is_some_and(|(at, _)| now < *at + self.fresh_period)
@@ -146,11 +146,11 @@
 
     /// Returns whether a fresh heartbeat shows another incarnation on a router's VM, which means that this one is dead.
     pub(crate) fn is_replaced(&self, now: Instant, router: Incarnation, vm: &VmId) -> bool {
-        let heard = self
+        let heartbeat = self
             .heartbeats
             .get(vm)
             .filter(|(at, _)| now < *at + self.fresh_period);
-        heard.is_some_and(|(_, beat)| beat.router != router)
+        heartbeat.is_some_and(|(_, beat)| beat.router != router)
     }
 
     /// Stores a peer's batches after those that it left here before; returns whether that was possible.
@@ -243,13 +243,13 @@
             (now < *at + self.fresh_period).then_some(beat)
         };
         let peers = self.vm_index.peers();
-        let words = peers.iter().filter_map(|peer| {
+        let reports = peers.iter().filter_map(|peer| {
             Some(BudgetReport {
                 peer: peer.clone(),
                 budgets: fresh(&peer.vm)?.purses.clone(),
             })
         });
-        words.collect()
+        reports.collect()
     }
 
     /// Returns whether a peer in the VM list failed to answer recently.
