--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -8,8 +8,8 @@
 //! A request passes [`AccountLimit::try_acquire`], [`Quarantine::isolation`], the holding that [`HoldingPolicy`] keeps,
 //! and [`FairQueue::push`]. On each arrival, end, report and deadline the router takes requests by
 //! [`FairQueue::pop_where`] as long as [`Chooser::choose`] finds an endpoint, calls [`Chooser::start`] and dispatches
-//! them. [`Chooser::end`], [`Ejector::record`], [`PrefixIndex::record_served`] and [`Quarantine::complete`] record how a
-//! request ended.
+//! them. [`Chooser::end`], [`Ejector::record`], [`PrefixIndex::record_served`] and [`Quarantine::complete`] record how
+//! a request ended.
 
 mod advice;
 mod borrowers;
