--- a/src/router/isolation.rs
+++ b/src/router/isolation.rs
@@ -46,7 +46,8 @@
     /// closed.
     ///
     /// It may be frozen, in which case its tokens and requests should be freed early. Or the network may be dropping
-    /// its replies, in which case it is still serving its callers. `Lean` decides which case takes precedence.
+    /// its replies, in which case it is still serving its callers. `ConsistencyMode` decides which case takes
+    /// precedence.
     fn mute_timeout(&self) -> Duration {
         match self.tuning.lean {
             ConsistencyMode::Strict => self.tuning.silence_timeout * MUTE_FACTOR,
@@ -108,8 +109,8 @@
     /// Returns whether a peer's confirmation that it holds a replica of a bill counts.
     ///
     /// A failure domain goes down as a whole, so a replica within this router's own domain adds little and does not
-    /// count under `Lean::Strict`. Under `Lean::Available` it does: a domain that is cut off has no other peers, and
-    /// refusals weigh more than a bill that may be lost with the domain.
+    /// count under `ConsistencyMode::Strict`. Under `ConsistencyMode::Available` it does: a domain that is cut off has
+    /// no other peers, and refusals weigh more than a bill that may be lost with the domain.
     pub(crate) fn counts_as_replica(&self, peer: &VmId) -> bool {
         let domain = self.members.domain(peer);
         match self.tuning.lean {
--- a/src/router/outage.rs
+++ b/src/router/outage.rs
@@ -165,10 +165,10 @@
 
     /// Returns the extent of the batches that are replicated to all peers that must confirm them.
     ///
-    /// Under `Lean::Strict`, every router that may close this one or refuse a retry must confirm: one that does not
-    /// know of a claim would say that its request was not run, and one that does not know of a bill would close this
-    /// router before the bill is appended. Under `Lean::Available` one replica is enough, and a partition may cause
-    /// both faults.
+    /// Under `ConsistencyMode::Strict`, every router that may close this one or refuse a retry must confirm: one that
+    /// does not know of a claim would say that its request was not run, and one that does not know of a bill would
+    /// close this router before the bill is appended. Under `ConsistencyMode::Available` one replica is enough, and a
+    /// partition may cause both faults.
     fn replicated_extent(&self) -> Option<Extent> {
         let replicas = &self.outage.replicas;
         let open_peers = self.open_peers();
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Bills a request. Once the bill is durable, the caller gets what `then` says.
+    /// Bills a request. Once the bill is durable, the caller gets what `answer_end` says.
     fn bill(&mut self, id: RequestId, used: Tokens, outcome: Outcome, answer_end: AnswerEnd) {
         let request = &mut self.requests[&id];
         // Either the team or the operator (`House`) pays for broken runs, as the deployment specifies. A bill never
--- a/src/router/tests/grants.rs
+++ b/src/router/tests/grants.rs
@@ -316,15 +316,15 @@
     let again = lend(&mut site);
     assert!(first > Tokens::ZERO);
     assert_eq!(first, again);
-    let gift = BudgetTransfer {
+    let transfer = BudgetTransfer {
         giver: Incarnation(99),
         number: 2,
         team: ask.team.clone(),
         amount: Tokens(500),
     };
     let before = site.core.grant_budgets.budget_report(site.now)[0].free;
-    site.core.grant_budgets.receive_transfer(&gift);
-    site.core.grant_budgets.receive_transfer(&gift);
+    site.core.grant_budgets.receive_transfer(&transfer);
+    site.core.grant_budgets.receive_transfer(&transfer);
     let after = site.core.grant_budgets.budget_report(site.now)[0].free;
     assert_eq!(after - before, Tokens(500));
 }
@@ -443,10 +443,9 @@
         site.receive_peer_heartbeat(0);
         site.advance(500);
     }
-    let given = site
-        .effects
-        .iter()
-        .any(|e| matches!(e, Effect::TransferBudget(gift, _) if gift.amount > Tokens::ZERO));
+    let given = site.effects.iter().any(
+        |e| matches!(e, Effect::TransferBudget(transfer, _) if transfer.amount > Tokens::ZERO),
+    );
     assert!(given);
 }
 
--- a/src/router/tests/owners.rs
+++ b/src/router/tests/owners.rs
@@ -165,16 +165,16 @@
     };
     site.handle(Event::RunEnded(id, RunEnd::Completed { usage }));
     site.advance(15_000);
-    let gifts: Vec<&BudgetTransfer> = site
+    let transfers: Vec<&BudgetTransfer> = site
         .effects
         .iter()
         .filter_map(|effect| match effect {
-            Effect::TransferBudget(gift, _) => Some(gift),
+            Effect::TransferBudget(transfer, _) => Some(transfer),
             _ => None,
         })
         .collect();
-    assert_eq!(gifts.len(), 1);
-    assert_eq!(gifts[0].amount, Tokens(880));
+    assert_eq!(transfers.len(), 1);
+    assert_eq!(transfers[0].amount, Tokens(880));
 }
 
 /// An owner that holds too little draws budget before it answers. Meanwhile the borrower, without an answer, repeats
@@ -343,14 +343,14 @@
 
 /// Delivers a heartbeat from another router that reports plenty of idle budget for a team.
 fn receive_owner_heartbeat(site: &mut Site, team: &str) {
-    let word = TeamBudget {
+    let budget = TeamBudget {
         team: team.parse().expect("a name"),
         free: Tokens(500_000),
         demand: 0,
     };
     let beat = Heartbeat {
         vm: "peer-0".parse().expect("a name"),
-        purses: vec![word],
+        purses: vec![budget],
         ..site.peer_heartbeat(0)
     };
     site.handle(Event::HeartbeatReceived(beat));
--- a/src/router/tests/random.rs
+++ b/src/router/tests/random.rs
@@ -210,21 +210,21 @@
                 state.spent
             ));
         }
-        self.check_purses(&ledger)?;
+        self.check_ledger_budgets(&ledger)?;
         self.check_calls()
     }
 
     /// With no appends pending, a router must not have more available for reservations than the ledger grants it.
-    fn check_purses(&self, ledger: &Ledger) -> Result<(), String> {
+    fn check_ledger_budgets(&self, ledger: &Ledger) -> Result<(), String> {
         for node in &self.cluster.nodes {
             let core = &node.core;
-            for (team, purse) in &core.ledger_budgets {
+            for (team, budget) in &core.ledger_budgets {
                 let free = ledger.holding(core.me, team).free;
                 let credit = core.appender.waiting() > 0;
-                if !credit && purse.available(free) > free {
+                if !credit && budget.available(free) > free {
                     return Err(format!(
-                        "purse offers {} of {free} free tokens",
-                        purse.available(free)
+                        "ledger budget offers {} of {free} free tokens",
+                        budget.available(free)
                     ));
                 }
             }
